--- a/packages/daemon/src/entryservice.ts
+++ b/packages/daemon/src/entryservice.ts
@@ -2,7 +2,7 @@
 import type { EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 import type { AgentMessage } from '@amaranthmast/dispatch/messages'
 import type { DispatchConfiguration, Queue } from '@amaranthmast/dispatch/queues'
-import type { PeerMessage } from '@amaranthmast/dispatch/roommessages'
+import type { PeerMessage } from '@amaranthmast/dispatch/peermessages'
 import type { Greeting } from '@amaranthmast/links/greeting'
 import type { Link } from '@amaranthmast/links/link'
 import type { CallerPort, CallerPortFactory, ServiceSettings, StorePort } from './ports.ts'
--- a/packages/daemon/src/schedulingmetrics.ts
+++ b/packages/daemon/src/schedulingmetrics.ts
@@ -1,7 +1,7 @@
 /** Metrics of how an entry takes part in sharing the capacity of the fleet; the tool sums them over the entries. */
 import type { AdmissionStatus } from '@amaranthmast/dispatch/fleetadmission'
 import type { SchedulingStatus, ServiceCapacity } from '@amaranthmast/dispatch/schedulingstatus'
-import type { SharingStatus } from '@amaranthmast/dispatch/sharingstatus'
+import type { AllocationStatus } from '@amaranthmast/dispatch/allocationstatus'
 import type { Exposition, Labels, Sample } from './exposition.ts'
 
 const THOUSANDTHS = 1000
@@ -36,7 +36,7 @@
   return Object.entries(dataCentres).flatMap(([dataCentre, figures]) => samplesOf({ queue: name, data_centre: dataCentre }, figures))
 }
 
-function requestsOf ({ asked, waiting, requests }: SharingStatus): Sample[] {
+function requestsOf ({ asked, waiting, requests }: AllocationStatus): Sample[] {
   return samplesOf({}, { asked, waiting, requests })
 }
 
--- a/packages/dispatch/src/roomrequest.ts
+++ b/packages/dispatch/src/allocationrequest.ts
@@ -1,19 +1,19 @@
-/** Tasks of another entry's job that ask for room. */
-import type { PeerMessage, RoomStep, RoomTask } from './roommessages.ts'
+/** Request of another entry for capacity for tasks of one of its jobs. */
+import type { PeerMessage, RequestedStep, RequestedTask } from './peermessages.ts'
 
-export class RoomRequest {
-  /** Entry that asks. */
+export class AllocationRequest {
+  /** Name of the requesting entry. */
   readonly peer: string
   readonly job: string
   readonly group: string
   readonly service: string
-  /** Whether it stays when not everything fits. */
+  /** Whether the request waits when not all tasks fit; else it is declined. */
   readonly waits: boolean
   readonly arrivedAt: number
-  /** The request with the smallest one is served first; as for own jobs, when it would be refused. */
+  /** When the job would be refused, as for jobs of this entry; the request with the smallest value is served first. */
   readonly orderAt: number
   readonly #except: ReadonlySet<string>
-  readonly #steps: readonly RoomStep[]
+  readonly #steps: readonly RequestedStep[]
 
   constructor (peer: string, { job, group, service, within, waits, steps, except }: Extract<PeerMessage, { type: 'ask' }>, now: number) {
     this.peer = peer
@@ -27,8 +27,8 @@
     this.#except = new Set(except)
   }
 
-  /** Tasks without room, with their steps. */
-  * tasks (): Generator<{ step: RoomStep, task: RoomTask }> {
+  /** Tasks without a grant, with their steps. */
+  * tasks (): Generator<{ step: RequestedStep, task: RequestedTask }> {
     for (const step of this.#steps) for (const task of [...step.tasks]) yield { step, task }
   }
 
@@ -36,7 +36,7 @@
     return this.#steps.every(({ tasks }) => tasks.length === 0)
   }
 
-  /** Agents with tasks of a step, each as often as it has one. */
+  /** Agents with placed tasks of a step, repeated for each task. */
   placed (index: number): readonly string[] {
     return this.#steps.find(step => step.index === index)?.placed ?? []
   }
@@ -45,7 +45,7 @@
     return !this.#except.has(agent)
   }
 
-  noteGranted (step: RoomStep, task: RoomTask, agent: string): void {
+  noteGranted (step: RequestedStep, task: RequestedTask, agent: string): void {
     step.tasks.splice(step.tasks.indexOf(task), 1)
     step.placed.push(agent)
   }
--- a/packages/dispatch/src/cancellations.ts
+++ b/packages/dispatch/src/cancellations.ts
@@ -5,7 +5,7 @@
  * way. So it is remembered for as long as a caller may come back, and told to the other entries: at once, and with each new
  * link. What they hear they tell only to entries that link later, so that nothing goes round.
  */
-import type { PeerMessage } from './roommessages.ts'
+import type { PeerMessage } from './peermessages.ts'
 import { CANCELLATION_MEMORY_MILLISECONDS, CANCELLATIONS_REMEMBERED } from './crashdefaults.ts'
 
 export interface CancellationsParts {
--- a/packages/dispatch/src/demandview.ts
+++ b/packages/dispatch/src/demandview.ts
@@ -1,5 +1,5 @@
 /** What the other entries have told of the demand that they see. */
-import type { KindDemand, PeerMessage } from './roommessages.ts'
+import type { QueueDemand, PeerMessage } from './peermessages.ts'
 import { DEMAND_KINDS_TOLD, DEMAND_LIMIT_CORES, DEMAND_MEMORY_MILLISECONDS, DEMAND_NAME_LIMIT } from './admissiondefaults.ts'
 
 type DemandMessage = Extract<PeerMessage, { type: 'demand' }>
@@ -7,7 +7,7 @@
 interface Told {
   at: number
   dataCentre: string
-  kinds: readonly KindDemand[]
+  kinds: readonly QueueDemand[]
 }
 
 /**
@@ -27,19 +27,19 @@
   }
 
   /** What was told lately, with the data centre of the entry that told it. */
-  fresh (now: number): Array<KindDemand & { dataCentre: string }> {
+  fresh (now: number): Array<QueueDemand & { dataCentre: string }> {
     for (const [peer, { at }] of this.#told) if (now - at > DEMAND_MEMORY_MILLISECONDS) this.#told.delete(peer)
     return [...this.#told.values()].flatMap(({ dataCentre, kinds }) => kinds.map(kind => ({ ...kind, dataCentre })))
   }
 }
 
-function isKind (kind: unknown): kind is KindDemand {
+function isKind (kind: unknown): kind is QueueDemand {
   if (typeof kind !== 'object' || kind === null) return false
-  const { name, service } = kind as Partial<Record<keyof KindDemand, unknown>>
+  const { name, service } = kind as Partial<Record<keyof QueueDemand, unknown>>
   return isName(name) && isName(service)
 }
 
-function bounded ({ name, service, priority, offered, running, waiting }: KindDemand): KindDemand {
+function bounded ({ name, service, priority, offered, running, waiting }: QueueDemand): QueueDemand {
   return { name, service, priority: Math.floor(amountOf(priority)), offered: amountOf(offered), running: amountOf(running), waiting: amountOf(waiting) }
 }
 
--- a/packages/dispatch/src/entry.ts
+++ b/packages/dispatch/src/entry.ts
@@ -30,7 +30,7 @@
 import { JobQueue } from './jobqueue.ts'
 import { DEFAULT_POLICY } from './policy.ts'
 import { Returns } from './returns.ts'
-import { RoomSharing } from './roomsharing.ts'
+import { CapacityAllocation } from './capacityallocation.ts'
 import { TaskEnds } from './taskends.ts'
 
 type Handlers = {
@@ -43,7 +43,7 @@
   readonly #options: EntryOptions
   readonly #policy: Policy
   readonly #fleet: Fleet
-  readonly #sharing: RoomSharing
+  readonly #sharing: CapacityAllocation
   readonly #evacuations: EvacuationNews
   readonly #admission: Admission
   readonly #intake: Intake
@@ -112,7 +112,7 @@
       guards: options.guards ?? ALL_FLEET_GUARDS,
       policy: this.#policy,
       emit: effect => this.#effects.push(effect),
-      waiting: () => this.#sharing.choosesItself && this.#waiting(),
+      waiting: () => this.#sharing.placesDirectly && this.#waiting(),
       ended: (agent, placement, end, now) => this.#ends.ended(agent, placement, end, now),
       slow: (agent, placement, slow, now) => this.#ends.slow(agent, placement, slow, now),
       crashed: (agent, records, now) => { if (this.#policy.isolatesSuspects) this.#suspects.note(agent, records, now) },
@@ -139,7 +139,7 @@
     const { dataCentre, weights = [] } = options
     const parts = { dataCentre, weights, fleet: this.#fleet, queues: this.#queues, admission: this.#admission, returns: this.#returns, emit: (effect: EntryEffect) => this.#effects.push(effect) }
     if (this.#policy.fleetAdmission) this.#shares = new FleetAdmission(parts)
-    this.#sharing = new RoomSharing({
+    this.#sharing = new CapacityAllocation({
       name: options.name,
       dataCentre: options.dataCentre,
       strength: options.strength ?? 0,
@@ -163,7 +163,7 @@
     handler(event, now)
     this.#expire(now)
     if (now - this.#reviewedAt >= REVIEW_MILLISECONDS) this.#review(now)
-    this.#sharing.settle(now)
+    this.#sharing.placeOrRequest(now)
     return this.#effects
   }
 
--- a/packages/dispatch/src/entrysessions.ts
+++ b/packages/dispatch/src/entrysessions.ts
@@ -6,7 +6,7 @@
 import type { Resources } from './resources.ts'
 import type { PaceTold } from './steadypace.ts'
 import type { TargetWatch } from './targetwatch.ts'
-import { takeFrom } from './resources.ts'
+import { subtractFrom } from './resources.ts'
 import { LOAD_CHANGE_PART, LOAD_INTERVAL_MILLISECONDS, LONGEST_QUIET_PING_MILLISECONDS } from './defaults.ts'
 import { PARTITION_QUIET_FACTOR } from './partitiondefaults.ts'
 import { EntrySession, nameOf } from './entrysession.ts'
@@ -285,7 +285,7 @@
     const capacity = this.#parts.target.facts?.capacity
     if (this.#held.reserved && capacity !== undefined) return { ...capacity }
     const others = { ...this.#parts.used(now) }
-    takeFrom(others, session.used)
+    subtractFrom(others, session.used)
     return others
   }
 
--- a/packages/dispatch/src/entrytypes.ts
+++ b/packages/dispatch/src/entrytypes.ts
@@ -6,7 +6,7 @@
 import type { AgentMessage, EntryMessage } from './messages.ts'
 import type { DispatchConfiguration } from './queues.ts'
 import type { Policy } from './policy.ts'
-import type { PeerMessage } from './roommessages.ts'
+import type { PeerMessage } from './peermessages.ts'
 import type { Timings } from './timings.ts'
 
 /** How a request about a job is answered. */
--- a/packages/dispatch/src/farcost.ts
+++ b/packages/dispatch/src/farcost.ts
@@ -1,65 +1,65 @@
-/** What a target of another data centre costs: what was measured, and more while there is room nearby. */
+/** Cost of a target in another data centre: the measured delay, and a penalty while the local data centre has free capacity. */
 import type { AgentView } from './fleetview.ts'
-import { NEAR_ROOM_PART, WAY_RATE } from './speeddefaults.ts'
+import { LOCAL_CAPACITY_FRACTION, OVERHEAD_RATE } from './speeddefaults.ts'
 
-export interface FarCostParts {
-  /** What a far target is worth avoiding while there is room nearby, in milliseconds. */
+export interface RemoteCostDependencies {
+  /** Cost of a remote target while the local data centre has free capacity, in milliseconds. */
   penalty: number
   agents: () => Iterable<AgentView>
 }
 
-/** Means of the time that tasks take besides their run, in milliseconds; undefined before one was seen. */
-interface Ways {
+/** Moving averages of the time that tasks take besides their run, in milliseconds; undefined before the first task. */
+interface Overheads {
   near: number | undefined
   far: number | undefined
 }
 
-export class FarCost {
-  readonly #parts: FarCostParts
-  readonly #ways: Ways = { near: undefined, far: undefined }
-  /** Part of the processors that is free, by data centre, until the next decision. */
+export class RemoteCost {
+  readonly #dependencies: RemoteCostDependencies
+  readonly #overheads: Overheads = { near: undefined, far: undefined }
+  /** Cache of the fraction of free processors by data centre, cleared before each decision. */
   #room = new Map<string, number>()
 
-  constructor (parts: FarCostParts) {
-    this.#parts = parts
+  constructor (dependencies: RemoteCostDependencies) {
+    this.#dependencies = dependencies
   }
 
-  /** A task has run to its end. `besides`: time from its start here to the news of its end, less its run, in milliseconds. */
-  noteRun (isNear: boolean, besides: number): void {
-    const key = isNear ? 'near' : 'far'
-    const mean = this.#ways[key] ?? besides
-    this.#ways[key] = mean + WAY_RATE * (besides - mean)
+  /** Records a finished task. `overhead`: time from sending its start to receiving its end, less its run time, in milliseconds. */
+  noteRun (isLocal: boolean, overhead: number): void {
+    const key = isLocal ? 'near' : 'far'
+    const mean = this.#overheads[key] ?? overhead
+    this.#overheads[key] = mean + OVERHEAD_RATE * (overhead - mean)
   }
 
-  /** Loads are as known now. */
-  begin (): void {
+  /** Clears the cached loads before a decision. */
+  clearLoads (): void {
     this.#room.clear()
   }
 
-  /** How much longer a task takes to a far target and back, in milliseconds; 0 before both were seen. */
-  get way (): number {
-    const { near, far } = this.#ways
+  /** Extra time of a task at a remote target for the way there and back, in milliseconds; 0 until tasks at local and remote targets have finished. */
+  get remoteDelay (): number {
+    const { near, far } = this.#overheads
     return near === undefined || far === undefined ? 0 : Math.max(0, far - near)
   }
 
-  /** What a far target costs a caller of the data centre, in milliseconds. */
+  /** Cost of a remote target for a caller in the data centre, in milliseconds. */
   of (dataCentre: string): number {
-    const { way } = this
-    return way + Math.max(0, this.#parts.penalty - way) * Math.min(1, this.#roomIn(dataCentre) / NEAR_ROOM_PART)
+    const { remoteDelay } = this
+    return remoteDelay + Math.max(0, this.#dependencies.penalty - remoteDelay) * Math.min(1, this.#freeFractionIn(dataCentre) / LOCAL_CAPACITY_FRACTION)
   }
 
-  #roomIn (dataCentre: string): number {
+  #freeFractionIn (dataCentre: string): number {
     const known = this.#room.get(dataCentre)
     if (known !== undefined) return known
     let free = 0
-    let whole = 0
-    for (const agent of this.#parts.agents()) {
+    let total = 0
+    for (const agent of this.#dependencies.agents()) {
       if (!agent.linked || agent.evacuated || agent.target?.dataCentre !== dataCentre) continue
       free += Math.max(0, agent.free.cpu)
-      whole += agent.target.capacity.cpu
+      total += agent.target.capacity.cpu
     }
-    const part = whole === 0 ? 0 : free / whole
-    this.#room.set(dataCentre, part)
-    return part
+    const fraction = total === 0 ? 0 : free / total
+    this.#room.set(dataCentre, fraction)
+    return fraction
   }
 }
--- a/packages/dispatch/src/fleet.ts
+++ b/packages/dispatch/src/fleet.ts
@@ -13,7 +13,7 @@
 import { AGENT_MEMORY_MILLISECONDS } from './defaults.ts'
 import { PARTITION_QUIET_FACTOR } from './partitiondefaults.ts'
 import { CapacityForecast } from './capacityforecast.ts'
-import { FarCost } from './farcost.ts'
+import { RemoteCost } from './farcost.ts'
 import { FleetSpeeds } from './fleetspeeds.ts'
 import { FleetTrust } from './fleettrust.ts'
 import { AgentView } from './fleetview.ts'
@@ -56,7 +56,7 @@
   readonly #agents = new Map<string, AgentView>()
   readonly #trust: FleetTrust
   readonly speeds: FleetSpeeds
-  readonly farCost: FarCost
+  readonly farCost: RemoteCost
   readonly #forecast = new CapacityForecast()
   #roleOf: (agent: AgentView) => RoomRole = () => RoomRole.Chooses
   #evacuated: (dataCentre: string | undefined) => boolean = () => false
@@ -88,7 +88,7 @@
   constructor (options: FleetOptions) {
     this.#options = options
     this.speeds = new FleetSpeeds({ policy: options.policy, note: (what, fields) => this.#note(what, fields) })
-    this.farCost = new FarCost({ penalty: options.policy.farPenalty, agents: () => this.#agents.values() })
+    this.farCost = new RemoteCost({ penalty: options.policy.farPenalty, agents: () => this.#agents.values() })
     this.#trust = new FleetTrust({ policy: options.policy, note: (what, fields) => this.#note(what, fields) })
   }
 
--- a/packages/dispatch/src/fleetadmission.ts
+++ b/packages/dispatch/src/fleetadmission.ts
@@ -14,7 +14,7 @@
 import type { JobQueue } from './jobqueue.ts'
 import type { Queue } from './queues.ts'
 import type { Returns } from './returns.ts'
-import type { KindDemand, PeerMessage } from './roommessages.ts'
+import type { QueueDemand, PeerMessage } from './peermessages.ts'
 import type { KindShare, ServiceRoom } from './shareplan.ts'
 import { AdmissionCounts } from './admissioncounts.ts'
 import {
@@ -70,7 +70,7 @@
 /** Shares in one service, as last worked out. */
 interface ServiceState extends ServiceRoom {
   at: number
-  own: readonly KindDemand[]
+  own: readonly QueueDemand[]
   shares: ReadonlyMap<string, KindShare>
   /** Cores that come free in a millisecond; 0 when not known. */
   freeing: number
@@ -268,16 +268,16 @@
   return Object.fromEntries(Object.entries(refusal).map(([name, value]) => [name, Math.round(value * 100) / 100]))
 }
 
-function total (kinds: readonly KindDemand[], figure: 'running' | 'waiting'): number {
+function total (kinds: readonly QueueDemand[], figure: 'running' | 'waiting'): number {
   return kinds.reduce((sum, kind) => sum + kind[figure], 0)
 }
 
 /** The word of another entry, no further than what it may cost this one if it is wrong. */
-function plausible (kind: KindDemand, capacity: number): KindDemand {
+function plausible (kind: QueueDemand, capacity: number): QueueDemand {
   return { ...kind, offered: Math.min(kind.offered, capacity * MOST_OFFERED_PART), waiting: Math.min(kind.waiting, capacity * MOST_WAITING_PART) }
 }
 
-function byDataCentre (parts: ReadonlyArray<KindDemand & { dataCentre: string }>): AdmissionStatus['dataCentres'] {
+function byDataCentre (parts: ReadonlyArray<QueueDemand & { dataCentre: string }>): AdmissionStatus['dataCentres'] {
   const sums: AdmissionStatus['dataCentres'] = {}
   for (const { dataCentre, offered, running, waiting } of parts) {
     const sum = sums[dataCentre] ??= { offered: 0, running: 0, waiting: 0 }
--- a/packages/dispatch/src/fleetview.ts
+++ b/packages/dispatch/src/fleetview.ts
@@ -11,7 +11,7 @@
   QUIET_CONTACT_MILLISECONDS, QUIET_SUSPECT_MILLISECONDS, SLOWEST_SPEED, SUSPECT_MILLISECONDS
 } from './defaults.ts'
 import { Isolation, RoomRole } from './messages.ts'
-import { addTo, mostOf, NO_RESOURCES, takeFrom } from './resources.ts'
+import { addTo, maxOf, NO_RESOURCES, subtractFrom } from './resources.ts'
 
 /** A start of a task that has not ended yet. */
 export interface Placement {
@@ -96,7 +96,7 @@
   /** @param usedUntil until when it is used while it leaves */
   noteTarget (target: TargetFacts | undefined, usedUntil = Number.NEGATIVE_INFINITY): void {
     const before = target?.instance === this.target?.instance ? this.largest : NO_RESOURCES
-    this.largest = mostOf(before, target?.capacity ?? NO_RESOURCES)
+    this.largest = maxOf(before, target?.capacity ?? NO_RESOURCES)
     if (target?.instance !== this.target?.instance) this.steady = undefined
     this.target = target
     this.usedUntil = usedUntil
@@ -133,7 +133,7 @@
     if (!this.placements.delete(placement.task.name)) return
     this.#suspects.delete(placement)
     this.#reserving.delete(placement)
-    takeFrom(this.used, placement.needs)
+    subtractFrom(this.used, placement.needs)
     this.#measure()
   }
 
@@ -167,7 +167,7 @@
     const granted = this.#granted.get(task)
     if (granted === undefined) return
     this.#granted.delete(task)
-    takeFrom(this.#grantedSum, granted.needs)
+    subtractFrom(this.#grantedSum, granted.needs)
   }
 
   /**
--- a/packages/dispatch/src/groupmap.ts
+++ b/packages/dispatch/src/groupmap.ts
@@ -1,28 +1,28 @@
-/** Room given out by data centre: one entry for all targets of a group. */
+/** Allocator map by data centre: one entry allocates the capacity of all targets of a group. */
 import type { Fleet } from './fleet.ts'
 import type { AgentView } from './fleetview.ts'
 import type { Peers } from './peers.ts'
-import type { RoomMap } from './roommap.ts'
-import type { MemberFacts } from './roommessages.ts'
-import { TargetGroups } from './groups.ts'
+import type { AllocatorMap } from './allocatormap.ts'
+import type { MemberFacts } from './peermessages.ts'
+import { TargetGroups } from './targetgroups.ts'
 
-export interface GroupMapParts {
+export interface GroupMapDependencies {
   dataCentre: string
   fleet: Fleet
   peers: Peers
-  /** Whether any entry gives out room; else each chooses by itself. */
+  /** Whether groups have allocators; else each entry chooses targets itself. */
   shares: boolean
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
-export class GroupMap implements RoomMap {
-  readonly #parts: GroupMapParts
+export class GroupMap implements AllocatorMap {
+  readonly #dependencies: GroupMapDependencies
   readonly #groups = new TargetGroups()
   #allocators = new Map<string, string | undefined>()
   #home = ''
 
-  constructor (parts: GroupMapParts) {
-    this.#parts = parts
+  constructor (dependencies: GroupMapDependencies) {
+    this.#dependencies = dependencies
   }
 
   get groups (): readonly string[] {
@@ -41,13 +41,13 @@
     return this.#allocators.get(group)
   }
 
-  observe (): void {
-    this.#groups.update(this.#parts.fleet.targetsByDataCentre())
-    this.#home = this.#groups.home(this.#parts.dataCentre)
+  refreshTargets (): void {
+    this.#groups.update(this.#dependencies.fleet.targetsByDataCentre())
+    this.#home = this.#groups.home(this.#dependencies.dataCentre)
   }
 
-  renew (own: MemberFacts): boolean {
-    const { peers, shares, note } = this.#parts
+  update (own: MemberFacts): boolean {
+    const { peers, shares, note } = this.#dependencies
     const allocators = new Map<string, string | undefined>()
     let changed = false
     for (const group of this.#groups.names) {
@@ -55,7 +55,7 @@
       allocators.set(group, allocator)
       if (allocator === this.#allocators.get(group)) continue
       changed = true
-      note('room given out by', { group, entry: allocator })
+      note('allocator of group changed', { group, entry: allocator })
     }
     changed ||= allocators.size !== this.#allocators.size
     this.#allocators = allocators
--- a/packages/dispatch/src/heldtasks.ts
+++ b/packages/dispatch/src/heldtasks.ts
@@ -4,7 +4,7 @@
 import type { Resources } from './resources.ts'
 import { RUNS_REMEMBERED } from './defaults.ts'
 import { Isolation } from './messages.ts'
-import { addTo, NO_RESOURCES, takeFrom } from './resources.ts'
+import { addTo, NO_RESOURCES, subtractFrom } from './resources.ts'
 
 /** How far a task is. In every stage it may be running and holds its room. */
 export enum Stage {
@@ -125,8 +125,8 @@
 
   remove (held: HeldTask): void {
     if (!this.#tasks.delete(held.order.task)) return
-    takeFrom(this.used, held.order.needs)
-    takeFrom(held.session.used, held.order.needs)
+    subtractFrom(this.used, held.order.needs)
+    subtractFrom(held.session.used, held.order.needs)
     held.session.tasks -= 1
   }
 
--- a/packages/dispatch/src/jobqueue.ts
+++ b/packages/dispatch/src/jobqueue.ts
@@ -2,7 +2,7 @@
 import type { Job } from './job.ts'
 import type { Policy } from './policy.ts'
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
-import { LAST_TASKS_PART } from './speeddefaults.ts'
+import { LAST_TASKS_FRACTION } from './speeddefaults.ts'
 
 type OrderPolicy = Pick<Policy, 'priorityStep' | 'byKept' | 'shortestFirst' | 'placesBySlack'>
 
@@ -34,7 +34,7 @@
   orderOf (job: Job): number {
     const { byKept, priorityStep, shortestFirst, placesBySlack } = this.#policy
     if (shortestFirst) return job.chain
-    const begun = placesBySlack && job.started ? LAST_TASKS_PART * (job.objectiveAt - job.arrivedAt) * (1 - job.queued().length / job.tasks.length) : 0
+    const begun = placesBySlack && job.started ? LAST_TASKS_FRACTION * (job.objectiveAt - job.arrivedAt) * (1 - job.queued().length / job.tasks.length) : 0
     return (byKept ? job.keptUntil : job.startBy) + priorityStep * job.request.queue.priority - begun
   }
 
--- a/packages/dispatch/src/owndemand.ts
+++ b/packages/dispatch/src/owndemand.ts
@@ -4,7 +4,7 @@
 import type { Job, JobRequest, Step } from './job.ts'
 import type { JobQueue } from './jobqueue.ts'
 import type { Queue } from './queues.ts'
-import type { KindDemand } from './roommessages.ts'
+import type { QueueDemand } from './peermessages.ts'
 import { TaskState } from './job.ts'
 
 const THOUSANDTHS = 1000
@@ -42,7 +42,7 @@
  *
  * @param meanRun of a queue's tasks, in milliseconds
  */
-export function turnoverOf (kinds: readonly KindDemand[], meanRun: (name: string, service: string) => number): number {
+export function turnoverOf (kinds: readonly QueueDemand[], meanRun: (name: string, service: string) => number): number {
   const idle = kinds.every(({ running }) => running === 0)
   let held = 0
   let freed = 0
@@ -55,7 +55,7 @@
 }
 
 /** What each of the queues has here. */
-export function demandOf (queues: readonly Queue[], meter: DemandMeter, agents: readonly AgentView[], waiting: JobQueue | undefined, now: number): KindDemand[] {
+export function demandOf (queues: readonly Queue[], meter: DemandMeter, agents: readonly AgentView[], waiting: JobQueue | undefined, now: number): QueueDemand[] {
   const kinds = new Map(queues.map(({ name, service, priority }) => [name, { name, service, priority, offered: meter.rate(name, now), running: 0, waiting: 0 }]))
   for (const { placements } of agents) {
     for (const { task, needs } of placements.values()) {
--- a/packages/dispatch/src/partitionchoice.ts
+++ b/packages/dispatch/src/partitionchoice.ts
@@ -1,33 +1,33 @@
-/** Which entry is asked for room in its partition. */
+/** Chooses the entry from whose partition capacity is requested. */
 import { hashString } from '@amaranthmast/coordination/rendezvous'
 import { FAR_ROOM_FACTOR } from './defaults.ts'
-import { NEAR_WEIGHT } from './partitiondefaults.ts'
-import { drawn } from './partitions.ts'
+import { LOCAL_WEIGHT } from './partitiondefaults.ts'
+import { drawWeighted } from './partitions.ts'
 
-/** Free processors of a partition of which nothing is known. */
-export const UNKNOWN_ROOM = -1
+/** Free processors of a partition without a recent report. */
+export const UNKNOWN_CAPACITY = -1
 
-/** A partition of another entry, as its holder tells of it. */
-export interface PartitionRoom {
+/** A partition of another entry, as its holder reports it. */
+export interface PartitionCapacity {
   /** Name of its holder. */
   name: string
   /** Free processors, in thousandths of a core. */
   free: number
-  /** Whether the holder is in the data centre of this entry. */
+  /** Whether the holder is in the same data centre as this entry. */
   near: boolean
 }
 
 /**
- * The partition that a job is asked for: one with ample room, else one with any, else one of which nothing is known, those
- * near rather than others. Jobs draw among them in proportion to their room, so that entries which hear of the same room do
- * not all go there.
+ * Chooses the partition from which capacity for a job is requested: one with ample capacity, else one with enough for a task,
+ * else one without a recent report. Jobs are spread at random in proportion to the free capacity, with a preference for local
+ * partitions, so that entries with the same reports don't all choose the same one.
  *
- * @param need processors of the job's tasks, in thousandths of a core
- * @param least processors of its smallest task
+ * @param neededCpu processors of the job's tasks, in thousandths of a core
+ * @param minCpu processors of its smallest task, in thousandths of a core
  */
-export function choosePartition (job: string, need: number, least: number, rooms: readonly PartitionRoom[]): string | undefined {
-  const ample = rooms.filter(({ free }) => free >= need * FAR_ROOM_FACTOR)
-  const open = ample.length > 0 ? ample : rooms.filter(({ free }) => free >= least)
-  const asked = open.length > 0 ? open : rooms.filter(({ free }) => free === UNKNOWN_ROOM)
-  return drawn(hashString(job), asked, ({ free, near }) => Math.max(1, free) * (near ? NEAR_WEIGHT : 1))?.name
+export function choosePartition (job: string, neededCpu: number, minCpu: number, partitions: readonly PartitionCapacity[]): string | undefined {
+  const ample = partitions.filter(({ free }) => free >= neededCpu * FAR_ROOM_FACTOR)
+  const sufficient = ample.length > 0 ? ample : partitions.filter(({ free }) => free >= minCpu)
+  const eligible = sufficient.length > 0 ? sufficient : partitions.filter(({ free }) => free === UNKNOWN_CAPACITY)
+  return drawWeighted(hashString(job), eligible, ({ free, near }) => Math.max(1, free) * (near ? LOCAL_WEIGHT : 1))?.name
 }
--- a/packages/dispatch/src/partitiondefaults.ts
+++ b/packages/dispatch/src/partitiondefaults.ts
@@ -1,48 +1,48 @@
-/** Constants of room that is given out in partitions. */
+/** Constants of capacity that is allocated in partitions. */
 
-/** Most targets of one entry, in parts of its fair share: how far the own data centre comes before an even spread. */
+/** Upper bound on the targets of one entry, relative to its fair share; above 1 it favours local targets over an even spread. */
 export const PARTITION_SLACK = 1.25
 
-/** Speed of a processor, in parts of the strongest able one's, below which an entry holds no targets. */
-export const WEAK_PROCESSOR_PART = 0.2
+/** An entry holds no targets if its processor is slower than this fraction of the fastest able entry's. */
+export const WEAK_PROCESSOR_FRACTION = 0.2
 
-/** Weight of the newest step in the mean of what tasks need: less free room at a target is of no use. */
-export const TYPICAL_RATE = 0.02
+/** Weight of the newest step in the moving average of the processors that tasks need; targets with less free capacity count as full. */
+export const TYPICAL_CPU_RATE = 0.02
 
-/** Intervals of ticks at which a process with work and an idle one are told of the time. */
+/** Tick intervals of a process with work and of an idle one. */
 export const TICK_INTERVAL_MILLISECONDS = 50
 export const IDLE_TICK_INTERVAL_MILLISECONDS = 100
 
-/** Part of an earlier lateness of ticks that still counts at the next one, and the most that is remembered of one. */
-export const LAG_KEPT_PART = 0.5
-export const MOST_LAG_MILLISECONDS = 200
+/** Fraction of the lag that is kept at each tick, and the upper bound on the lag. */
+export const LAG_DECAY_FRACTION = 0.5
+export const MAX_LAG_MILLISECONDS = 200
 
-/** Lag from which an entry hands its partition over: a request there would take longer than a refused start and another try. */
-export const LAGGING_MILLISECONDS = 40
+/** Lag from which an entry hands its partition over: a request to it would take longer than a rejected start and a retry. */
+export const HIGH_LAG_MILLISECONDS = 40
 
-/** Lag below which an entry counts as quick, and how long it must stay there to be given targets again. */
-export const QUICK_MILLISECONDS = 10
-export const QUICK_FOR_MILLISECONDS = 500
+/** Lag below which an entry counts as responsive, and how long the lag must stay there before the entry gets targets again. */
+export const LOW_LAG_MILLISECONDS = 10
+export const LOW_LAG_DURATION_MILLISECONDS = 500
 
-/** Time after which a request for room that is answered at once counts as unanswered, and for how long its entry is not asked. */
-export const UNANSWERED_MILLISECONDS = 50
-export const UNANSWERING_MILLISECONDS = 1000
+/** Timeout of a capacity request that is answered immediately, and the time for which its entry then gets no requests. */
+export const REQUEST_TIMEOUT_MILLISECONDS = 50
+export const UNRESPONSIVE_PAUSE_MILLISECONDS = 1000
 
-/** Others that an entry tells of its free room, those of its own data centre first. */
-export const ROOM_NEIGHBOURS = 7
+/** Number of entries to which an entry sends its free capacity, preferably in its own data centre. */
+export const MAX_UPDATE_RECIPIENTS = 7
 
-/** Longest pause between two such messages to one entry, and the silence from which its partition goes to others. */
-export const ROOM_BEAT_MILLISECONDS = 250
-export const HOLDER_SILENCE_MILLISECONDS = 600
+/** Longest interval between two such messages to one entry, and the time without a message after which its partition goes to others. */
+export const MAX_UPDATE_INTERVAL_MILLISECONDS = 250
+export const HOLDER_TIMEOUT_MILLISECONDS = 600
 
-/** Entries up to which each tells all others of itself every second; with more, more seldom. */
-export const MEMBERS_EACH_SECOND = 8
+/** Number of other entries up to which each sends its member message to all of them every second; with more, the interval grows in proportion. */
+export const MEMBER_MESSAGES_PER_SECOND = 8
 
-/** How much rather an entry of the own data centre is asked or told than one elsewhere with the same room. */
-export const NEAR_WEIGHT = 8
+/** Weight of a local entry relative to a remote one with the same free capacity, in choosing where to send requests and updates. */
+export const LOCAL_WEIGHT = 8
 
 /**
- * How much more seldom quiet links are pinged, and how much longer silence is borne on their links: the holder of a target
- * pings it often, and grants nothing there when it is silent.
+ * Factor by which ping intervals and timeouts of quiet links are extended: the holder of a target pings it often, and grants
+ * no capacity there while it is unresponsive.
  */
 export const PARTITION_QUIET_FACTOR = 2
--- a/packages/dispatch/src/partitionmap.ts
+++ b/packages/dispatch/src/partitionmap.ts
@@ -1,38 +1,38 @@
-/** Room given out by partition: each group is what one entry holds, and goes by the name of that entry. */
+/** Allocator map with one partition of the targets per entry: each group is the partition of one entry and has its name. */
 import type { Fleet } from './fleet.ts'
 import type { AgentView } from './fleetview.ts'
 import type { Holder, PartitionTarget } from './partitions.ts'
 import type { Peers } from './peers.ts'
-import type { RoomMap } from './roommap.ts'
-import type { MemberFacts } from './roommessages.ts'
+import type { AllocatorMap } from './allocatormap.ts'
+import type { MemberFacts } from './peermessages.ts'
 import { partition } from './partitions.ts'
 
-/** The group of targets that nobody holds. */
+/** Group of the targets without a holder. */
 const UNHELD = ''
 
-/** Names of targets that one note lists. */
-const NAMES_NOTED = 12
+/** Maximum number of target names in one log line. */
+const MAX_LOGGED_NAMES = 12
 
-export interface PartitionMapParts {
+export interface PartitionMapDependencies {
   /** Name of this entry. */
   name: string
   fleet: Fleet
   peers: Peers
-  /** Lag of this process, in milliseconds. */
+  /** Event loop lag of this process, in milliseconds. */
   lag: () => number
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
-export class PartitionMap implements RoomMap {
-  readonly #parts: PartitionMapParts
+export class PartitionMap implements AllocatorMap {
+  readonly #dependencies: PartitionMapDependencies
   #targets: PartitionTarget[] = []
   #holderOf: ReadonlyMap<string, string> = new Map()
   #sizes: ReadonlyMap<string, number> = new Map()
-  /** What the partition was worked out from. */
-  #basis = ''
+  /** Identifies the targets and holders for which the partition was computed. */
+  #inputKey = ''
 
-  constructor (parts: PartitionMapParts) {
-    this.#parts = parts
+  constructor (dependencies: PartitionMapDependencies) {
+    this.#dependencies = dependencies
   }
 
   get groups (): readonly string[] {
@@ -40,10 +40,10 @@
   }
 
   get home (): string {
-    return this.#parts.name
+    return this.#dependencies.name
   }
 
-  /** Targets that each entry holds. */
+  /** Number of targets that each entry holds. */
   get sizes (): ReadonlyMap<string, number> {
     return this.#sizes
   }
@@ -56,41 +56,41 @@
     return this.#sizes.has(group) ? group : undefined
   }
 
-  observe (): void {
-    this.#targets = this.#parts.fleet.partitionTargets()
+  refreshTargets (): void {
+    this.#targets = this.#dependencies.fleet.partitionTargets()
   }
 
-  renew (own: MemberFacts): boolean {
-    const holders = this.#parts.peers.able()
-    if (own.able) holders.push({ ...own, name: this.#parts.name })
-    const basis = basisOf(this.#targets, holders)
-    if (basis === this.#basis) return false
-    this.#basis = basis
+  update (own: MemberFacts): boolean {
+    const holders = this.#dependencies.peers.able()
+    if (own.able) holders.push({ ...own, name: this.#dependencies.name })
+    const inputKey = inputKeyOf(this.#targets, holders)
+    if (inputKey === this.#inputKey) return false
+    this.#inputKey = inputKey
     const before = this.#holderOf
     this.#holderOf = partition(this.#targets, holders)
     const sizes = new Map<string, number>()
     for (const holder of this.#holderOf.values()) sizes.set(holder, (sizes.get(holder) ?? 0) + 1)
     this.#sizes = sizes
-    this.#noteChange(before, own, holders.length)
+    this.#logChange(before, own, holders.length)
     return true
   }
 
-  #noteChange (before: ReadonlyMap<string, string>, own: MemberFacts, holders: number): void {
-    const { name, lag, note } = this.#parts
+  #logChange (before: ReadonlyMap<string, string>, own: MemberFacts, holders: number): void {
+    const { name, lag, note } = this.#dependencies
     const fields = { holders, able: own.able, strength: own.strength, lag: Math.round(lag()), holds: this.#sizes.get(name) ?? 0 }
-    const taken = gained(before, this.#holderOf, name)
-    const left = gained(this.#holderOf, before, name)
-    if (taken.length > 0) note('partition taken', { targets: taken.length, names: taken.slice(0, NAMES_NOTED), ...fields })
-    if (left.length > 0) note('partition handed over', { targets: left.length, names: left.slice(0, NAMES_NOTED), ...fields })
+    const gainedTargets = gainedBy(before, this.#holderOf, name)
+    const lostTargets = gainedBy(this.#holderOf, before, name)
+    if (gainedTargets.length > 0) note('partition taken', { targets: gainedTargets.length, names: gainedTargets.slice(0, MAX_LOGGED_NAMES), ...fields })
+    if (lostTargets.length > 0) note('partition handed over', { targets: lostTargets.length, names: lostTargets.slice(0, MAX_LOGGED_NAMES), ...fields })
   }
 }
 
-/** Targets that an entry holds by the second map and not by the first. */
-function gained (first: ReadonlyMap<string, string>, second: ReadonlyMap<string, string>, name: string): string[] {
+/** Targets that an entry holds in the second map and not in the first. */
+function gainedBy (first: ReadonlyMap<string, string>, second: ReadonlyMap<string, string>, name: string): string[] {
   return [...second].flatMap(([target, holder]) => holder === name && first.get(target) !== name ? [target] : [])
 }
 
-function basisOf (targets: readonly PartitionTarget[], holders: readonly Holder[]): string {
+function inputKeyOf (targets: readonly PartitionTarget[], holders: readonly Holder[]): string {
   const places = targets.map(({ name, service, dataCentre }) => `${name}/${service}/${dataCentre}`)
   const entries = holders.map(({ name, dataCentre, strength }) => `${name}/${dataCentre}/${strength}`)
   return `${places.sort().join()} ${entries.sort().join()}`
--- a/packages/dispatch/src/peers.ts
+++ b/packages/dispatch/src/peers.ts
@@ -1,21 +1,21 @@
-/** The other entries, and which of them gives out the room of a group of targets. */
-import type { MemberFacts } from './roommessages.ts'
+/** State of the other entries, and the choice of the one that allocates the capacity of a group of targets. */
+import type { MemberFacts } from './peermessages.ts'
 import { hashString } from '@amaranthmast/coordination/rendezvous'
 
 interface Peer {
-  /** It tells of its room, and so that it is there, several times a second. */
-  tells: boolean
+  /** Whether it reports its free capacity several times a second, which also serves as a keep-alive. */
+  sendsUpdates: boolean
   heardAt: number
-  /** It did not answer: nothing is asked of it before it is heard again. */
+  /** Whether it is unresponsive: nothing is requested from it until a message of it arrives. */
   suspected: boolean
-  /** A request came back without an answer: it is not asked before, unless it answers another. */
-  unansweringUntil: number
+  /** A request to it timed out: nothing is requested from it before this time, unless it answers another request. */
+  unresponsiveUntil: number
 }
 
 export class Peers {
   readonly #self: string
   readonly #peers = new Map<string, Peer>()
-  /** What each has told of itself, also before the link to it stood. */
+  /** Facts that each has reported, also before it was linked. */
   readonly #facts = new Map<string, MemberFacts>()
 
   /** @param self name of this entry */
@@ -23,13 +23,13 @@
     this.#self = self
   }
 
-  /** Names of the entries with a link. */
+  /** Names of the linked entries. */
   get names (): string[] {
     return [...this.#peers.keys()]
   }
 
   link (name: string, now: number): void {
-    this.#peers.set(name, { tells: false, heardAt: now, suspected: false, unansweringUntil: Number.NEGATIVE_INFINITY })
+    this.#peers.set(name, { sendsUpdates: false, heardAt: now, suspected: false, unresponsiveUntil: Number.NEGATIVE_INFINITY })
   }
 
   unlink (name: string): void {
@@ -45,31 +45,31 @@
     this.#facts.set(name, facts)
   }
 
-  noteHeard (name: string, now: number): void {
+  noteContact (name: string, now: number): void {
     const peer = this.#peers.get(name)
     if (peer === undefined) return
     peer.heardAt = now
     peer.suspected = false
   }
 
-  /** Data centre of an entry, as far as it has told. */
+  /** Data centre of an entry; undefined until it reports one. */
   dataCentreOf (name: string): string | undefined {
     return this.#facts.get(name)?.dataCentre
   }
 
-  /** When it was last heard. */
+  /** Time of the last message of an entry; `-Infinity` for one that is not linked. */
   heardAt (name: string): number {
     return this.#peers.get(name)?.heardAt ?? Number.NEGATIVE_INFINITY
   }
 
-  noteTells (name: string): void {
+  noteSendsUpdates (name: string): void {
     const peer = this.#peers.get(name)
-    if (peer !== undefined) peer.tells = true
+    if (peer !== undefined) peer.sendsUpdates = true
   }
 
-  /** Whether it tells of its room, and so that it is there, several times a second. */
-  tells (name: string): boolean {
-    return this.#peers.get(name)?.tells === true
+  /** Whether an entry reports its free capacity several times a second. */
+  sendsUpdates (name: string): boolean {
+    return this.#peers.get(name)?.sendsUpdates === true
   }
 
   suspect (name: string): void {
@@ -79,7 +79,7 @@
 
   noteUnanswered (name: string, until: number): void {
     const peer = this.#peers.get(name)
-    if (peer !== undefined) peer.unansweringUntil = until
+    if (peer !== undefined) peer.unresponsiveUntil = until
   }
 
   noteAnswered (name: string): void {
@@ -88,10 +88,10 @@
 
   answers (name: string, now: number): boolean {
     const peer = this.#peers.get(name)
-    return peer !== undefined && !peer.suspected && now >= peer.unansweringUntil
+    return peer !== undefined && !peer.suspected && now >= peer.unresponsiveUntil
   }
 
-  /** Linked entries that say that they are able to give out room, and are heard. */
+  /** Linked and responsive entries that report that they may allocate capacity. */
   able (): Array<MemberFacts & { name: string }> {
     const able = []
     for (const [name, { suspected }] of this.#peers) {
@@ -102,26 +102,26 @@
   }
 
   /**
-   * The entry that gives out the room of a group: the fastest of those that stand beside its targets, of equals the one that
-   * rendezvous hashing names, so that entries which know the same peers agree without a message. Without one beside them,
-   * any other does it. Where entries disagree for a moment, two give out the same room and some starts are refused.
+   * The entry that allocates the capacity of a group: the fastest one in a data centre of the group, or the fastest one
+   * anywhere if there is none. Ties are broken by rendezvous hashing, so that entries with the same peers agree without a
+   * message. While entries disagree, two of them allocate the same capacity and agents reject some starts.
    */
-  allocatorOf (group: string, beside: (dataCentre: string) => boolean, own: MemberFacts): string | undefined {
+  allocatorOf (group: string, inGroup: (dataCentre: string) => boolean, own: MemberFacts): string | undefined {
     const able = [...own.able ? [{ ...own, name: this.#self }] : [], ...this.able()]
-    const near = able.filter(({ dataCentre }) => beside(dataCentre))
-    return strongest(group, near.length > 0 ? near : able)
+    const local = able.filter(({ dataCentre }) => inGroup(dataCentre))
+    return fastestMember(group, local.length > 0 ? local : able)
   }
 }
 
-function strongest (group: string, members: ReadonlyArray<MemberFacts & { name: string }>): string | undefined {
+function fastestMember (group: string, members: ReadonlyArray<MemberFacts & { name: string }>): string | undefined {
   let best: string | undefined
-  let bestStrength = Number.NEGATIVE_INFINITY
+  let highestStrength = Number.NEGATIVE_INFINITY
   let bestScore = -1
   for (const { name, strength } of members) {
     const score = hashString(`${group}/${name}`)
-    if (strength < bestStrength || (strength === bestStrength && score <= bestScore)) continue
+    if (strength < highestStrength || (strength === highestStrength && score <= bestScore)) continue
     best = name
-    bestStrength = strength
+    highestStrength = strength
     bestScore = score
   }
   return best
--- a/packages/dispatch/src/peerwatch.ts
+++ b/packages/dispatch/src/peerwatch.ts
@@ -1,82 +1,83 @@
-/** Which of the other entries are silent: what they give out is not asked of them any more. */
+/** Detects unresponsive entries, so that no requests are sent to them. */
 import type { Peers } from './peers.ts'
-import type { ProcessorLag } from './processorlag.ts'
-import type { RoomClient } from './roomclient.ts'
-import type { RoomMap } from './roommap.ts'
-import type { RoomNews } from './roomnews.ts'
+import type { EventLoopLag } from './eventlooplag.ts'
+import type { AllocationClient } from './allocationclient.ts'
+import type { AllocatorMap } from './allocatormap.ts'
+import type { AllocationUpdates } from './roomnews.ts'
 import { ALLOCATOR_SILENCE_MILLISECONDS, PEER_SILENCE_MILLISECONDS } from './defaults.ts'
-import { HOLDER_SILENCE_MILLISECONDS, UNANSWERING_MILLISECONDS } from './partitiondefaults.ts'
+import { HOLDER_TIMEOUT_MILLISECONDS, UNRESPONSIVE_PAUSE_MILLISECONDS } from './partitiondefaults.ts'
 
-/** Member messages of a holder that may be missing before it counts as silent. */
-const MEMBERS_MISSED = 2.5
+/** Number of member intervals without a message after which a holder counts as unresponsive. */
+const MAX_MISSED_MEMBER_MESSAGES = 2.5
 
-export interface PeerWatchParts {
+export interface PeerWatchDependencies {
   /** Name of this entry. */
   name: string
-  map: RoomMap
+  map: AllocatorMap
   peers: Peers
-  client: RoomClient
-  lag: ProcessorLag
-  news: RoomNews
+  client: AllocationClient
+  lag: EventLoopLag
+  updates: AllocationUpdates
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
 export class PeerWatch {
-  readonly #parts: PeerWatchParts
-  /** When others last came to give out room. */
-  #allocatorsSince = Number.NEGATIVE_INFINITY
+  readonly #dependencies: PeerWatchDependencies
+  /** When the allocator of any group last changed. */
+  #allocatorsChangedAt = Number.NEGATIVE_INFINITY
 
-  constructor (parts: PeerWatchParts) {
-    this.#parts = parts
+  constructor (dependencies: PeerWatchDependencies) {
+    this.#dependencies = dependencies
   }
 
   allocatorsChanged (now: number): void {
-    this.#allocatorsSince = now
+    this.#allocatorsChangedAt = now
   }
 
   /**
-   * An entry that owes an answer gives a sign of life with each tick; one that gives out room, each second.
+   * Marks unresponsive allocators as suspected. An entry with waiting requests sends a keep-alive with each tick; an
+   * allocator sends one each second.
    *
-   * @returns whether one of them owes an answer and is silent
+   * @returns whether an entry with a pending request is unresponsive
    */
-  suspectSilentAllocators (now: number): boolean {
-    const { name, map, peers, client, note } = this.#parts
+  suspectUnresponsiveAllocators (now: number): boolean {
+    const { name, map, peers, client, note } = this.#dependencies
     for (const group of map.groups) {
       const allocator = map.allocatorOf(group)
       if (allocator === undefined || allocator === name) continue
-      if (now - Math.max(peers.heardAt(allocator), this.#allocatorsSince) >= PEER_SILENCE_MILLISECONDS) peers.suspect(allocator)
+      if (now - Math.max(peers.heardAt(allocator), this.#allocatorsChangedAt) >= PEER_SILENCE_MILLISECONDS) peers.suspect(allocator)
     }
-    let silent = false
-    for (const { peer, at } of client.owing()) {
+    let unresponsive = false
+    for (const { peer, at } of client.awaitingAnswer()) {
       if (now - Math.max(at, peers.heardAt(peer)) < ALLOCATOR_SILENCE_MILLISECONDS) continue
-      note('allocator silent', { entry: peer, asked: Math.round(now - at) })
+      note('allocator unresponsive', { entry: peer, asked: Math.round(now - at) })
       peers.suspect(peer)
-      silent = true
+      unresponsive = true
     }
-    if (silent) client.noteSilent()
-    return silent
+    if (unresponsive) client.noteUnresponsive()
+    return unresponsive
   }
 
-  /** A holder of which nothing is heard is frozen, cut off or gone: its partition goes to others until it is heard again. */
-  suspectSilentHolders (now: number): void {
-    const { name, map, peers, lag, news, note } = this.#parts
+  /** Marks holders as suspected when no message of them arrives: they are frozen, isolated or gone. Others get their partitions until they respond. */
+  suspectUnresponsiveHolders (now: number): void {
+    const { name, map, peers, lag, updates, note } = this.#dependencies
     for (const holder of map.groups) {
       if (holder === name) continue
-      const patience = peers.tells(holder) ? HOLDER_SILENCE_MILLISECONDS : MEMBERS_MISSED * news.memberInterval
-      const silence = now - Math.max(peers.heardAt(holder), lag.stoodUntil)
-      if (silence < patience) continue
-      note('holder silent', { entry: holder, silence: Math.round(silence) })
+      const timeout = peers.sendsUpdates(holder) ? HOLDER_TIMEOUT_MILLISECONDS : MAX_MISSED_MEMBER_MESSAGES * updates.memberInterval
+      const sinceContact = now - Math.max(peers.heardAt(holder), lag.stalledUntil)
+      if (sinceContact < timeout) continue
+      note('holder unresponsive', { entry: holder, silence: Math.round(sinceContact) })
       peers.suspect(holder)
     }
   }
 
-  /** An entry that does not answer is not asked for a while, though others may still reach it. */
-  giveUpUnanswered (now: number): void {
-    const { peers, client, lag, note } = this.#parts
-    const entries = new Map(client.giveUpUnanswered(lag.stoodUntil, lag.milliseconds, now).map(({ peer, asked }) => [peer, asked]))
+  /** Abandons requests that timed out, and sends no further ones to those entries for a while; other entries may still reach them. */
+  abandonUnanswered (now: number): void {
+    const { peers, client, lag, note } = this.#dependencies
+    const entries = new Map(client.abandonUnanswered(lag.stalledUntil, lag.milliseconds, now).map(({ peer, asked }) => [peer, asked]))
     for (const [entry, asked] of entries) {
-      peers.noteUnanswered(entry, now + UNANSWERING_MILLISECONDS)
-      note('holder does not answer', { entry, asked: Math.round(asked) })
+      peers.noteUnanswered(entry, now + UNRESPONSIVE_PAUSE_MILLISECONDS)
+      note('request to holder timed out', { entry, asked: Math.round(asked) })
     }
   }
 }
--- a/packages/dispatch/src/placement.ts
+++ b/packages/dispatch/src/placement.ts
@@ -1,4 +1,4 @@
-/** Which target a task goes to. */
+/** Chooses the target of a task by cost. */
 import type { AgentView } from './fleetview.ts'
 import type { Step } from './job.ts'
 import type { Policy } from './policy.ts'
@@ -7,38 +7,38 @@
 import { Isolation } from './messages.ts'
 import { fits } from './resources.ts'
 
-/** What a choice is made for. */
+/** The task to be placed and the circumstances of the choice. */
 export interface PlacementRequest {
   step: Pick<Step, 'needs' | 'label' | 'rack' | 'perTarget'>
   /** Expected run time at an average target, in milliseconds. */
   expected: number
   now: number
-  /** Milliseconds until the task must have ended for its job to be in time; negative when that has passed. */
+  /** Milliseconds until the task must end for its job to meet its objective; negative when that has passed. */
   left: number
-  /** Target to be taken only when no other has room. */
+  /** Agent whose target is used only when no other has capacity. */
   avoid: string
-  /** A suspect goes to the emptiest target without another one. */
+  /** Isolated tasks (suspects of a crash) go to the emptiest target without another suspect. */
   isolation: Isolation
   dataCentre: string
-  /** Tasks of the same step at a target. */
+  /** Number of tasks of the same step at a target. */
   placedAt: (agent: AgentView) => number
-  /** Whether it may get one more, apart from its room. */
+  /** Whether a target may get one more task, apart from its free resources. */
   hasPlace: (agent: AgentView) => boolean
-  /** Whether it has tasks of the entry that the choice is for. */
+  /** Whether a target has tasks of the entry for which the task is placed. */
   isUsed: (agent: AgentView) => boolean
-  /** Entries that may place tasks there. */
+  /** Number of entries that may place tasks. */
   entries: number
   policy: Policy
-  /** What a target of another data centre is worth avoiding, in milliseconds. */
+  /** Cost of a target of another data centre, in milliseconds. */
   farPenalty: number
-  /** How much longer a task takes there and back, in milliseconds. */
-  farWay: number
+  /** Extra time of a task at a target of another data centre, in milliseconds. */
+  remoteDelay: number
 }
 
 /**
- * The target with room where the task is expected to end first, with a preference for the own data
- * centre, whose traffic is cheaper, and for emptier targets, whose load is less likely to be out of
- * date. Undefined when none has room.
+ * Chooses the target with free capacity where the task is expected to end first, with a preference
+ * for the local data centre, whose traffic is cheaper, and for emptier targets, whose load is less
+ * likely to be out of date. Undefined when no target has capacity.
  */
 export function choose (request: PlacementRequest, candidates: readonly AgentView[]): AgentView | undefined {
   let best: AgentView | undefined
@@ -53,7 +53,7 @@
   return best
 }
 
-/** Whether the target may get the task now. */
+/** Whether the target may get the task now: free resources, remaining lifetime, labels, isolation and the limit per target. */
 export function allows ({ step, expected, now, isolation, placedAt, hasPlace }: PlacementRequest, agent: AgentView): boolean {
   if (isolation !== Isolation.None && agent.hasSuspect) return false
   if (!hasPlace(agent) || !fits(step.needs, agent.free) || !agent.outlasts(expected, now)) return false
@@ -61,30 +61,30 @@
   return step.perTarget === 0 || placedAt(agent) < step.perTarget
 }
 
-/** Time that the choice costs, in milliseconds. */
+/** Total cost of the choice, in milliseconds. */
 function costOf (request: PlacementRequest, agent: AgentView): number {
-  return runOf(request, agent) + sideCostOf(request, agent, request.farPenalty)
+  return expectedRunOf(request, agent) + placementCostOf(request, agent, request.farPenalty)
 }
 
-/** How long the task is expected to run there, in milliseconds. */
-export function runOf ({ step, expected, policy }: PlacementRequest, { target, health, speed }: AgentView): number {
+/** Expected run time of the task at the target by its speed, success rate and rack, in milliseconds. */
+export function expectedRunOf ({ step, expected, policy }: PlacementRequest, { target, health, speed }: AgentView): number {
   if (target === undefined) return Infinity
-  const sound = policy.countsFailures ? 1 - Math.min(COUNTED_FAILURE_RATE, health.failureRate) : 1
-  const run = expected / speed / sound
+  const successRate = policy.countsFailures ? 1 - Math.min(COUNTED_FAILURE_RATE, health.failureRate) : 1
+  const run = expected / speed / successRate
   return step.rack === '' || target.labels.includes(step.rack) ? run : run * 1.5
 }
 
 /**
- * What the choice costs besides the run, in milliseconds.
+ * Cost of the choice besides the expected run time, in milliseconds.
  *
- * @param farPenalty what a target of another data centre is worth avoiding, in milliseconds
+ * @param farPenalty cost of a target of another data centre, in milliseconds
  */
-export function sideCostOf ({ expected, avoid, isolation, dataCentre, isUsed, entries, policy }: PlacementRequest, agent: AgentView, farPenalty: number): number {
+export function placementCostOf ({ expected, avoid, isolation, dataCentre, isUsed, entries, policy }: PlacementRequest, agent: AgentView, farPenalty: number): number {
   const { target } = agent
   if (target === undefined) return Infinity
-  const far = target.dataCentre === dataCentre ? 0 : farPenalty
-  const load = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
-  const fresh = isUsed(agent) ? 0 : policy.affinity * entries
+  const remoteCost = target.dataCentre === dataCentre ? 0 : farPenalty
+  const loadCost = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
+  const newTargetCost = isUsed(agent) ? 0 : policy.affinity * entries
   const avoidance = isolation === Isolation.None ? expected : SUSPECT_LOAD_MILLISECONDS
-  return fresh + far + load + (agent.name === avoid ? avoidance : 0) + (agent.hasSuspect ? expected : 0)
+  return newTargetCost + remoteCost + loadCost + (agent.name === avoid ? avoidance : 0) + (agent.hasSuspect ? expected : 0)
 }
--- a/packages/dispatch/src/policy.ts
+++ b/packages/dispatch/src/policy.ts
@@ -1,6 +1,6 @@
 /**
- * Every mechanism that decides, in one place: what it gains is measured by switching it off, one at
- * a time, under the same load. Guards against two runs of a task are not policy, and stand apart.
+ * Switches and parameters of all scheduling mechanisms. Switching them off one at a time under the same
+ * load measures the effect of each. Guards against running a task twice are not part of the policy.
  */
 import {
   AFFINITY_MILLISECONDS, FAR_PENALTY_MILLISECONDS, LOAD_PENALTY_MILLISECONDS, PRIORITY_MILLISECONDS,
@@ -8,65 +8,65 @@
 } from './defaults.ts'
 
 export interface Policy {
-  /** Jobs that will hardly be in time are refused while others wait. @default true */
+  /** Refuses jobs that are unlikely to be in time while others wait. @default true */
   refusesLate: boolean
-  /** Part of its objective that a job must have left before it has to begin, to be kept while others wait. @default 0.3 */
+  /** Fraction of its objective that a job must have left before its latest start, to be kept while others wait. @default 0.3 */
   refusalMargin: number
-  /** Part of the jobs refused or late lately at which the whole margin applies, and less of it below; 0 for always the whole. @default 0.1 */
+  /** Fraction of recent jobs refused or late from which the whole margin applies; below, it shrinks. 0 always applies the whole margin. @default 0.1 */
   wholeMarginShare: number
-  /** Jobs that may be passed over in one decision. @default 8 */
+  /** Maximum number of jobs that may be passed over in one decision. @default 8 */
   scanLimit: number
-  /** What another data centre is worth avoiding, in milliseconds. @default 60 */
+  /** Cost of a target in another data centre, in milliseconds. @default 60 */
   farPenalty: number
-  /** What a full target is worth avoiding against an empty one, in milliseconds. @default 10 */
+  /** Cost of a full target relative to an empty one, in milliseconds. @default 10 */
   loadPenalty: number
-  /** What a target with tasks of the same entry is worth, for each linked entry, in milliseconds. @default 0.6 */
+  /** Cost of a target without tasks of the same entry, for each linked entry, in milliseconds. @default 0.6 */
   affinity: number
-  /** A target's speed is learned. @default true */
+  /** Learns the speed of each target. @default true */
   learnsSpeed: boolean
-  /** A target that was slow gets one task at a time until it has recovered. @default true */
+  /** Limits a slow target to one task at a time until it has recovered. @default true */
   probesSlow: boolean
-  /** Failures count against a target in a choice. @default true */
+  /** Includes the failure rate of a target in its cost. @default true */
   countsFailures: boolean
-  /** A target that fails far more than others is left out for a while. @default true */
+  /** Excludes a target that fails far more often than others for a while. @default true */
   ejects: boolean
-  /** Tasks that stand still or crawl are moved. @default true */
+  /** Moves tasks that make no or little progress to another target. @default true */
   movesSlow: boolean
-  /** A target that refused for other reasons than its room is left alone for a moment. @default true */
+  /** Pauses a target that rejected a start for a reason other than lack of capacity. @default true */
   pausesRefusing: boolean
-  /** A target that is silent for some time is offered to nobody until it answers. @default true */
+  /** Excludes a target that is unresponsive for some time until it answers. @default true */
   withdrawsSilent: boolean
-  /** A target that says it is full gets nothing before its next word on its load. @default true */
+  /** Places no tasks at a target that reported it is full until its next load report. @default true */
   believesFull: boolean
-  /** Time limits of orders follow the target's answers. @default true */
+  /** Adapts timeouts of orders to the answer times of the target. @default true */
   followsAnswers: boolean
-  /** Polls wait shorter while answers are lost. @default true */
+  /** Polls at shorter intervals while answers are lost. @default true */
   pollsSooner: boolean
-  /** Waiting time that a step of priority is worth, in milliseconds. @default 100 */
+  /** Waiting time equivalent to one step of priority, in milliseconds. @default 100 */
   priorityStep: number
-  /** Jobs wait in the order of the times until which they are kept, not of the latest times to begin. @default true */
+  /** Orders waiting jobs by the time until which they are kept instead of by their latest start. @default true */
   byKept: boolean
-  /** Jobs with little work go first, whatever their objective. @default false */
+  /** Places jobs with the least work first, regardless of their objective. @default false */
   shortestFirst: boolean
-  /** One entry gives out the room of a group of targets, the others ask it. @default true */
+  /** One entry allocates the capacity of a group of targets; the others send it requests. @default true */
   sharesRoom: boolean
-  /** Interval of pings on links that may be quiet, for each linked entry, in milliseconds. @default 60 */
+  /** Ping interval of links that may be quiet, for each linked entry, in milliseconds. @default 60 */
   quietPing: number
-  /** Agents tell entries of room before their next ping. @default true */
+  /** Agents report free capacity to entries before the next ping. @default true */
   tellsRoom: boolean
-  /** Targets are partitioned among the entries, and each gives out the room of its own partition. @default false */
+  /** Partitions the targets among the entries; each allocates the capacity of its own partition. @default false */
   partitions: boolean
-  /** Admission goes by the demand and capacity of all entries, not by the own queue alone. @default false */
+  /** Admits jobs by the demand and capacity of all entries instead of the entry's own queue. @default false */
   fleetAdmission: boolean
-  /** Refused callers are told when their share will have room, and go first when they return as told. @default false */
+  /** Tells refused callers when their share will have capacity, and serves those that return at that time first. @default false */
   reservesReturns: boolean
-  /** Tasks that are in time on a slow target leave the fast ones to those that are not. @default false */
+  /** Places tasks that are in time on a slow target there, and leaves fast targets to other tasks. @default false */
   placesBySlack: boolean
-  /** The speed of a target that nobody knows yet is taken from others of its kind. @default false */
+  /** Assumes for a target without measurements the speed of its machine kind. @default false */
   learnsKinds: boolean
-  /** A leaving target gets tasks that will end before it is gone. @default false */
+  /** Places tasks at a leaving target if they will end before it is gone. @default false */
   usesLeaving: boolean
-  /** Tasks that were on a target when it crashed are started again apart from each other, and given up after two crashes. @default false */
+  /** Restarts the tasks of a crashed target isolated from each other, and abandons a task after two crashes. @default false */
   isolatesSuspects: boolean
 }
 
--- a/packages/dispatch/src/requestqueue.ts
+++ b/packages/dispatch/src/requestqueue.ts
@@ -1,9 +1,9 @@
 /** Requests of other entries for room at targets of one service, in the order in which they are served. */
-import type { RoomRequest } from './roomrequest.ts'
+import type { AllocationRequest } from './allocationrequest.ts'
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
 
 export class RequestQueue {
-  readonly #heap = new IndexedHeap<RoomRequest>()
+  readonly #heap = new IndexedHeap<AllocationRequest>()
 
   get size (): number {
     return this.#heap.size
@@ -19,20 +19,20 @@
     return this.#heap.peekKey() ?? Infinity
   }
 
-  add (request: RoomRequest): void {
+  add (request: AllocationRequest): void {
     this.#heap.set(request, request.orderAt, request.arrivedAt)
   }
 
-  remove (request: RoomRequest): void {
+  remove (request: AllocationRequest): void {
     this.#heap.delete(request)
   }
 
-  take (): RoomRequest | undefined {
+  take (): AllocationRequest | undefined {
     return this.#heap.pop()
   }
 
   /** Every request, in no order. */
-  requests (): readonly RoomRequest[] {
+  requests (): readonly AllocationRequest[] {
     return this.#heap.values()
   }
 }
--- a/packages/dispatch/src/resources.ts
+++ b/packages/dispatch/src/resources.ts
@@ -1,4 +1,4 @@
-/** What a task needs and a target has. */
+/** Resources that a task needs or a target has, and arithmetic on them. */
 
 export interface Resources {
   /** Thousandths of a core. */
@@ -10,8 +10,8 @@
 
 export const NO_RESOURCES: Readonly<Resources> = { cpu: 0, memory: 0, accelerators: 0 }
 
-export function fits (needs: Resources, room: Resources): boolean {
-  return needs.cpu <= room.cpu && needs.memory <= room.memory && needs.accelerators <= room.accelerators
+export function fits (needs: Resources, free: Resources): boolean {
+  return needs.cpu <= free.cpu && needs.memory <= free.memory && needs.accelerators <= free.accelerators
 }
 
 /** Adds `amount` to `sum` in place. */
@@ -21,15 +21,15 @@
   sum.accelerators += amount.accelerators
 }
 
-/** Takes `amount` from `sum` in place. */
-export function takeFrom (sum: Resources, amount: Resources): void {
+/** Subtracts `amount` from `sum` in place. */
+export function subtractFrom (sum: Resources, amount: Resources): void {
   sum.cpu -= amount.cpu
   sum.memory -= amount.memory
   sum.accelerators -= amount.accelerators
 }
 
-/** The larger of each. */
-export function mostOf (one: Resources, other: Resources): Resources {
+/** The larger amount of each resource. */
+export function maxOf (one: Resources, other: Resources): Resources {
   return {
     cpu: Math.max(one.cpu, other.cpu),
     memory: Math.max(one.memory, other.memory),
--- a/packages/dispatch/src/returns.ts
+++ b/packages/dispatch/src/returns.ts
@@ -5,7 +5,7 @@
  * arrive first, once; who comes sooner gets nothing by it. The other entries hear of each booking, since a caller comes back
  * through any of them. All of this is soft: who is not known counts as one that arrives first.
  */
-import type { ReturnNotice } from './roommessages.ts'
+import type { ReturnNotice } from './peermessages.ts'
 import {
   EARLY_RETURN_MILLISECONDS, LATE_RETURN_MILLISECONDS, LONGEST_RETURN_MILLISECONDS, REFUSALS_BEFORE_PRECEDENCE,
   RETRY_STEP_MILLISECONDS, RETURN_ID_LIMIT, RETURN_SHARE, RETURN_SLOT_MILLISECONDS, RETURNS_REMEMBERED, RETURNS_TOLD
--- a/packages/dispatch/src/roomnews.ts
+++ b/packages/dispatch/src/roomnews.ts
@@ -1,96 +1,96 @@
-/** What an entry tells the others: whether it may give out room, and how much of it is free. */
+/** Updates that an entry sends to the others: whether it may allocate capacity, and how much is free. */
 import type { Peers } from './peers.ts'
-import type { RoomMap } from './roommap.ts'
-import type { MemberFacts, RoomMessage } from './roommessages.ts'
+import type { AllocatorMap } from './allocatormap.ts'
+import type { MemberFacts, AllocationMessage } from './peermessages.ts'
 import { hashString } from '@amaranthmast/coordination/rendezvous'
 import { MEMBER_INTERVAL_MILLISECONDS, ROOM_CHANGE_PART, ROOM_INTERVAL_MILLISECONDS } from './defaults.ts'
-import { MEMBERS_EACH_SECOND, NEAR_WEIGHT, ROOM_BEAT_MILLISECONDS, ROOM_NEIGHBOURS } from './partitiondefaults.ts'
-import { drawOf } from './partitions.ts'
+import { MEMBER_MESSAGES_PER_SECOND, LOCAL_WEIGHT, MAX_UPDATE_INTERVAL_MILLISECONDS, MAX_UPDATE_RECIPIENTS } from './partitiondefaults.ts'
+import { drawRank } from './partitions.ts'
 
-export interface RoomNewsParts {
+export interface AllocationUpdatesDependencies {
   /** Name of this entry. */
   name: string
   dataCentre: string
   partitions: boolean
-  map: RoomMap
+  map: AllocatorMap
   peers: Peers
   /** Free processors of a group, in thousandths of a core. */
   freeOf: (group: string) => number
-  tell: (peer: string, message: RoomMessage) => void
+  tell: (peer: string, message: AllocationMessage) => void
 }
 
-export class RoomNews {
-  readonly #parts: RoomNewsParts
-  /** As the others were told last. */
-  #toldAble = false
-  #memberToldAt = Number.NEGATIVE_INFINITY
-  readonly #toldRooms = new Map<string, number>()
-  #roomToldAt = Number.NEGATIVE_INFINITY
-  readonly #neighbourNames = new Set<string>()
-  #beatAt = Number.NEGATIVE_INFINITY
+export class AllocationUpdates {
+  readonly #dependencies: AllocationUpdatesDependencies
+  /** The `able` flag that was last sent. */
+  #sentAble = false
+  #memberSentAt = Number.NEGATIVE_INFINITY
+  readonly #sentFreeCapacity = new Map<string, number>()
+  #freeCapacityCheckedAt = Number.NEGATIVE_INFINITY
+  readonly #recipients = new Set<string>()
+  #partitionUpdateSentAt = Number.NEGATIVE_INFINITY
 
-  constructor (parts: RoomNewsParts) {
-    this.#parts = parts
+  constructor (dependencies: AllocationUpdatesDependencies) {
+    this.#dependencies = dependencies
   }
 
-  /** Tells the others at once when this entry may give out room, or no longer may; repeats it while it gives out some. */
-  tellFacts (own: MemberFacts, now: number): void {
-    const { map, name } = this.#parts
+  /** Sends the facts of this entry to all others: immediately when `able` changes, and periodically while it allocates capacity. */
+  sendFacts (own: MemberFacts, now: number): void {
+    const { map, name } = this.#dependencies
     const allocates = map.groups.some(group => map.allocatorOf(group) === name)
-    if (own.able === this.#toldAble && (!allocates || now - this.#memberToldAt < this.memberInterval)) return
-    this.#toldAble = own.able
-    this.#memberToldAt = now
-    this.#tellAll({ type: 'member', ...own })
+    if (own.able === this.#sentAble && (!allocates || now - this.#memberSentAt < this.memberInterval)) return
+    this.#sentAble = own.able
+    this.#memberSentAt = now
+    this.#sendToAll({ type: 'member', ...own })
   }
 
-  /** Time between two such messages, in milliseconds. */
+  /** Time between two periodic member messages, in milliseconds. */
   get memberInterval (): number {
-    const { partitions, peers } = this.#parts
-    return partitions ? MEMBER_INTERVAL_MILLISECONDS * Math.max(1, peers.names.length / MEMBERS_EACH_SECOND) : MEMBER_INTERVAL_MILLISECONDS
+    const { partitions, peers } = this.#dependencies
+    return partitions ? MEMBER_INTERVAL_MILLISECONDS * Math.max(1, peers.names.length / MEMBER_MESSAGES_PER_SECOND) : MEMBER_INTERVAL_MILLISECONDS
   }
 
-  tellRooms (now: number): void {
-    const { map, name, partitions, freeOf } = this.#parts
-    if (now - this.#roomToldAt < ROOM_INTERVAL_MILLISECONDS) return
-    this.#roomToldAt = now
-    if (partitions) return this.#tellNeighbours(now)
+  sendFreeCapacity (now: number): void {
+    const { map, name, partitions, freeOf } = this.#dependencies
+    if (now - this.#freeCapacityCheckedAt < ROOM_INTERVAL_MILLISECONDS) return
+    this.#freeCapacityCheckedAt = now
+    if (partitions) return this.#sendPartitionUpdate(now)
     for (const group of map.groups) {
       if (map.allocatorOf(group) !== name) continue
       const free = freeOf(group)
-      if (this.#changed(group, free)) this.#tellAll({ type: 'room', group, free })
+      if (this.#changed(group, free)) this.#sendToAll({ type: 'room', group, free })
     }
   }
 
-  /** A few others hear of the room of this entry's partition, and that it is there. */
-  #tellNeighbours (now: number): void {
-    const { map, name, freeOf, tell } = this.#parts
+  /** Sends the free capacity of this entry's partition to a few others; this also keeps the entry from timing out there. */
+  #sendPartitionUpdate (now: number): void {
+    const { map, name, freeOf, tell } = this.#dependencies
     if (map.allocatorOf(name) !== name) return
     const free = freeOf(name)
-    if (!this.#changed(name, free) && now - this.#beatAt < ROOM_BEAT_MILLISECONDS) return
-    this.#beatAt = now
-    for (const peer of this.#neighbours()) tell(peer, { type: 'room', group: name, free })
+    if (!this.#changed(name, free) && now - this.#partitionUpdateSentAt < MAX_UPDATE_INTERVAL_MILLISECONDS) return
+    this.#partitionUpdateSentAt = now
+    for (const peer of this.#selectRecipients()) tell(peer, { type: 'room', group: name, free })
   }
 
-  /** Those that are told already stay: they take silence for a sign that this entry is gone. */
-  #neighbours (): Iterable<string> {
-    const { name, dataCentre, peers } = this.#parts
-    for (const peer of this.#neighbourNames) if (!peers.has(peer)) this.#neighbourNames.delete(peer)
-    if (this.#neighbourNames.size >= Math.min(ROOM_NEIGHBOURS, peers.names.length)) return this.#neighbourNames
+  /** Entries that receive updates of the partition. Earlier recipients stay, since they count missing updates as a failure of this entry. */
+  #selectRecipients (): Iterable<string> {
+    const { name, dataCentre, peers } = this.#dependencies
+    for (const peer of this.#recipients) if (!peers.has(peer)) this.#recipients.delete(peer)
+    if (this.#recipients.size >= Math.min(MAX_UPDATE_RECIPIENTS, peers.names.length)) return this.#recipients
     const hash = hashString(name)
-    const drawn = peers.names.map(peer => ({ peer, place: drawOf(hash, peer, peers.dataCentreOf(peer) === dataCentre ? NEAR_WEIGHT : 1) }))
-    drawn.sort((one, other) => one.place - other.place)
-    for (const { peer } of drawn) if (this.#neighbourNames.size < ROOM_NEIGHBOURS) this.#neighbourNames.add(peer)
-    return this.#neighbourNames
+    const ranked = peers.names.map(peer => ({ peer, rank: drawRank(hash, peer, peers.dataCentreOf(peer) === dataCentre ? LOCAL_WEIGHT : 1) }))
+    ranked.sort((one, other) => one.rank - other.rank)
+    for (const { peer } of ranked) if (this.#recipients.size < MAX_UPDATE_RECIPIENTS) this.#recipients.add(peer)
+    return this.#recipients
   }
 
   #changed (group: string, free: number): boolean {
-    const told = this.#toldRooms.get(group)
-    if (told !== undefined && Math.abs(free - told) <= ROOM_CHANGE_PART * told) return false
-    this.#toldRooms.set(group, free)
+    const sent = this.#sentFreeCapacity.get(group)
+    if (sent !== undefined && Math.abs(free - sent) <= ROOM_CHANGE_PART * sent) return false
+    this.#sentFreeCapacity.set(group, free)
     return true
   }
 
-  #tellAll (message: RoomMessage): void {
-    for (const peer of this.#parts.peers.names) this.#parts.tell(peer, message)
+  #sendToAll (message: AllocationMessage): void {
+    for (const peer of this.#dependencies.peers.names) this.#dependencies.tell(peer, message)
   }
 }
--- a/packages/dispatch/src/schedulingsettings.ts
+++ b/packages/dispatch/src/schedulingsettings.ts
@@ -1,17 +1,17 @@
-/** Scheduling settings of a deployment, decoded into the policy that they stand for. */
+/** Scheduling settings of a deployment, and the policy that they select. */
 import type { Policy } from './policy.ts'
 
-/** Who gives out the room at the targets. */
-export enum RoomSource {
-  /** One entry gives out the room of all targets of a group. */
+/** How the capacity of the targets is allocated. */
+export enum CapacitySource {
+  /** One entry allocates the capacity of all targets of a group. */
   Allocator = 'allocator',
-  /** Each entry gives out the room of its own partition of the targets. */
+  /** Each entry allocates the capacity of its own partition of the targets. */
   Partitions = 'partitions',
-  /** Each entry chooses by itself among all targets. */
+  /** Each entry chooses independently among all targets. */
   Independent = 'independent'
 }
 
-/** What an entry goes by when it admits or refuses a job. */
+/** Demand and capacity by which an entry admits or refuses a job. */
 export enum AdmissionScope {
   /** Its own queue. */
   Entry = 'entry',
@@ -19,40 +19,40 @@
   Fleet = 'fleet'
 }
 
-/** How refused callers are told when to come back. */
+/** How the retry time of refused callers is chosen. */
 export enum ReturnPolicy {
-  /** Spread over a time that grows with the pressure. */
+  /** Spread over an interval that grows with the load. */
   Spread = 'spread',
-  /** When their share will have room, which is kept for those that return as told. */
+  /** When their share will have capacity, which is reserved for those that return at that time. */
   Reserved = 'reserved'
 }
 
-/** Which of the targets with room a task goes to. */
+/** How a target with free capacity is chosen for a task. */
 export enum PlacementRule {
   /** The one where it is expected to end first. */
   SoonestEnd = 'soonestEnd',
-  /** One that is fast enough for it; the fastest are left to tasks that need them. */
+  /** One that is fast enough for the task; the fastest are left to tasks that need them. */
   Slack = 'slack'
 }
 
-/** What a target that has announced its end is used for. */
-export enum LeavingUse {
+/** Tasks that are placed at a target that has announced its shutdown. */
+export enum LeavingTargetUse {
   None = 'none',
-  /** Tasks that will have ended before it is gone. */
+  /** Tasks that will end before it is gone. */
   ShortTasks = 'shortTasks'
 }
 
-/** What follows when a target crashes under its tasks. */
+/** What happens to the tasks of a target that crashes. */
 export enum CrashHandling {
-  /** They are started again like any others. */
+  /** They are restarted like any others. */
   Restart = 'restart',
-  /** They are started again apart from each other, and given up after two crashes. */
+  /** They are restarted isolated from each other, and abandoned after two crashes. */
   Isolate = 'isolate'
 }
 
 export interface SchedulingSettings {
   /** @default 'allocator' */
-  room: RoomSource
+  room: CapacitySource
   /** @default 'entry' */
   admission: AdmissionScope
   /** @default 'spread' */
@@ -60,7 +60,7 @@
   /** @default 'soonestEnd' */
   placement: PlacementRule
   /** @default 'none' */
-  leavingTargets: LeavingUse
+  leavingTargets: LeavingTargetUse
   /** @default 'restart' */
   crashes: CrashHandling
   /** Shares of the queues under contention, by their priority from 0 on; queues beyond the list weigh 1. @default [] */
@@ -68,11 +68,11 @@
 }
 
 export const DEFAULT_SCHEDULING: Readonly<SchedulingSettings> = {
-  room: RoomSource.Allocator,
+  room: CapacitySource.Allocator,
   admission: AdmissionScope.Entry,
   returns: ReturnPolicy.Spread,
   placement: PlacementRule.SoonestEnd,
-  leavingTargets: LeavingUse.None,
+  leavingTargets: LeavingTargetUse.None,
   crashes: CrashHandling.Restart,
   weights: []
 }
@@ -87,27 +87,27 @@
   }
 }
 
-/** What each setting that names a choice may be. */
+/** Allowed values of each enumerated setting. */
 const CHOICES: { readonly [Name in Exclude<keyof SchedulingSettings, 'weights'>]: readonly string[] } = {
-  room: Object.values(RoomSource),
+  room: Object.values(CapacitySource),
   admission: Object.values(AdmissionScope),
   returns: Object.values(ReturnPolicy),
   placement: Object.values(PlacementRule),
-  leavingTargets: Object.values(LeavingUse),
+  leavingTargets: Object.values(LeavingTargetUse),
   crashes: Object.values(CrashHandling)
 }
 
 /**
- * Reads the section `scheduling` of the settings; what it leaves out keeps its default.
+ * Decodes the section `scheduling` of the settings; settings that it omits have their defaults.
  *
  * @throws SchedulingSettingInvalid
  */
 export function decodeScheduling (section: Readonly<Record<string, unknown>> = {}): SchedulingSettings {
-  for (const [name, value] of Object.entries(section)) check(name, value)
+  for (const [name, value] of Object.entries(section)) checkSetting(name, value)
   return { ...DEFAULT_SCHEDULING, ...section }
 }
 
-function check (name: string, value: unknown): void {
+function checkSetting (name: string, value: unknown): void {
   if (name === 'weights') {
     if (Array.isArray(value) && value.every(weight => typeof weight === 'number' && weight > 0 && Number.isFinite(weight))) return
     throw new SchedulingSettingInvalid(name, 'a list of numbers above 0')
@@ -117,16 +117,16 @@
   if (!allowed.includes(value as string)) throw new SchedulingSettingInvalid(name, `one of ${allowed.join(', ')}`)
 }
 
-/** The policy that the settings stand for. */
+/** The part of the policy that the settings select. */
 export function policyOf ({ room, admission, returns, placement, leavingTargets, crashes }: SchedulingSettings): Partial<Policy> {
   return {
-    sharesRoom: room !== RoomSource.Independent,
-    partitions: room === RoomSource.Partitions,
+    sharesRoom: room !== CapacitySource.Independent,
+    partitions: room === CapacitySource.Partitions,
     fleetAdmission: admission === AdmissionScope.Fleet,
     reservesReturns: returns === ReturnPolicy.Reserved,
     placesBySlack: placement === PlacementRule.Slack,
     learnsKinds: placement === PlacementRule.Slack,
-    usesLeaving: leavingTargets === LeavingUse.ShortTasks,
+    usesLeaving: leavingTargets === LeavingTargetUse.ShortTasks,
     isolatesSuspects: crashes === CrashHandling.Isolate
   }
 }
--- a/packages/dispatch/src/shareplan.ts
+++ b/packages/dispatch/src/shareplan.ts
@@ -1,10 +1,10 @@
 /** Shares of the kinds of job in the capacity of one service, from what all entries see. */
-import type { KindDemand } from './roommessages.ts'
+import type { QueueDemand } from './peermessages.ts'
 import { maxMinShares } from './capacityshares.ts'
 import { CALM_PART, EXCESS_TOLERATED, LARGEST_TRIM, SMALLEST_TRIM, TRIM_MILLISECONDS, WANTED_GAIN, WANTED_PART } from './admissiondefaults.ts'
 
 /** In cores, except the threshold. */
-export interface KindShare extends KindDemand {
+export interface KindShare extends QueueDemand {
   /** Work of the kind that is admitted each second. */
   share: number
   /** Part of the share that is above what the kind's weight would give it if all wanted all. */
@@ -38,7 +38,7 @@
  *
  * @param weightOf weight of the kinds of a priority
  */
-export function planShares (room: ServiceRoom, kinds: readonly KindDemand[], weightOf: (priority: number) => number): KindShare[] {
+export function planShares (room: ServiceRoom, kinds: readonly QueueDemand[], weightOf: (priority: number) => number): KindShare[] {
   const claims = kinds.map(({ offered, priority }) => ({ demand: offered, weight: weightOf(priority) }))
   const fair = maxMinShares(room.capacity, claims)
   const fairOf = (index: number): number => fair[index] ?? 0
@@ -63,8 +63,8 @@
 }
 
 /** The figures of the same kinds added up. */
-export function sumByKind (demands: readonly KindDemand[]): KindDemand[] {
-  const kinds = new Map<string, KindDemand>()
+export function sumByKind (demands: readonly QueueDemand[]): QueueDemand[] {
+  const kinds = new Map<string, QueueDemand>()
   for (const { name, service, priority, offered, running, waiting } of demands) {
     const key = JSON.stringify([service, name])
     const sum = kinds.get(key) ?? { name, service, priority, offered: 0, running: 0, waiting: 0 }
--- a/packages/dispatch/src/slackplacement.ts
+++ b/packages/dispatch/src/slackplacement.ts
@@ -1,43 +1,43 @@
-/** Which target a task goes to by what it can bear: fast targets are left to the tasks that are late elsewhere. */
+/** Chooses the target of a task by the time left to its deadline: fast targets are left to tasks that would be late elsewhere. */
 import type { AgentView } from './fleetview.ts'
 import type { PlacementRequest } from './placement.ts'
 import { LATE_FACTOR } from './defaults.ts'
-import { FAST_PLACE_MILLISECONDS, SLACK_MARGIN_PART } from './speeddefaults.ts'
-import { allows, runOf, sideCostOf } from './placement.ts'
+import { FAST_TARGET_COST_MILLISECONDS, SLACK_MARGIN_FRACTION } from './speeddefaults.ts'
+import { allows, expectedRunOf, placementCostOf } from './placement.ts'
 
-/** How a target would serve the task. */
+/** Whether a task would end in time at a target. Lower values are better. */
 enum Fit {
-  /** In time, also when the run takes longer than expected by the margin. */
+  /** In time, even if the run exceeds its expected time by the margin. */
   Safe,
-  /** In time if the run takes as long as expected. */
+  /** In time if the run takes no longer than expected. */
   Tight,
   Late,
-  /** Too late to count at all. */
-  Useless
+  /** So late that the result has no value. */
+  TooLate
 }
 
-type Rank = (request: PlacementRequest, agent: AgentView) => number
+type Cost = (request: PlacementRequest, agent: AgentView) => number
 
-/** What the choice costs among targets that fit alike. */
-const COSTS: { readonly [Key in Fit]: Rank } = {
-  [Fit.Safe]: (request, agent) => FAST_PLACE_MILLISECONDS * Math.log(agent.speed) + sideCostOf(request, agent, request.farPenalty),
-  [Fit.Tight]: (request, agent) => runOf(request, agent) + sideCostOf(request, agent, request.farWay),
-  [Fit.Late]: (request, agent) => FAST_PLACE_MILLISECONDS * Math.log(agent.speed) + sideCostOf(request, agent, request.farPenalty),
-  [Fit.Useless]: (request, agent) => runOf(request, agent) + sideCostOf(request, agent, request.farWay)
+/** Cost by which targets with the same fit are compared, in milliseconds. */
+const COSTS: { readonly [Key in Fit]: Cost } = {
+  [Fit.Safe]: (request, agent) => FAST_TARGET_COST_MILLISECONDS * Math.log(agent.speed) + placementCostOf(request, agent, request.farPenalty),
+  [Fit.Tight]: (request, agent) => expectedRunOf(request, agent) + placementCostOf(request, agent, request.remoteDelay),
+  [Fit.Late]: (request, agent) => FAST_TARGET_COST_MILLISECONDS * Math.log(agent.speed) + placementCostOf(request, agent, request.farPenalty),
+  [Fit.TooLate]: (request, agent) => expectedRunOf(request, agent) + placementCostOf(request, agent, request.remoteDelay)
 }
 
 /**
- * The slowest target that serves the task in time with a margin, or the one where it is in time most likely. Undefined when
- * none has room, or when it would be late wherever there is room and in time at a faster target that may have room soon.
- * A task that can be in time nowhere is not worth a fast place.
+ * Chooses the slowest target at which the task is in time with a margin, or else the one where it is most likely in time.
+ * Undefined when no target has capacity, or when the task would be late at all that have, but in time at a faster target that
+ * may have capacity soon. A task that cannot be in time at any target does not get a fast one.
  *
- * @param fastest speed of the fastest targets that take the task, with room or without
+ * @param fastest speed of the fastest targets that accept the task, with or without free capacity
  */
 export function chooseBySlack (request: PlacementRequest, candidates: readonly AgentView[], fastest: number): AgentView | undefined {
-  const best = request.expected / fastest
-  const doomed = best > request.left
+  const shortestRun = request.expected / fastest
+  const neverInTime = shortestRun > request.left
   let chosen: AgentView | undefined
-  let fit = Fit.Useless
+  let fit = Fit.TooLate
   let lowest = Infinity
   for (const agent of candidates) {
     if (!allows(request, agent)) continue
@@ -49,15 +49,15 @@
     fit = fitHere
     lowest = cost
   }
-  const waits = fit >= Fit.Late && !doomed
-  return waits ? undefined : chosen
+  const shouldWait = fit >= Fit.Late && !neverInTime
+  return shouldWait ? undefined : chosen
 }
 
 function fitOf (request: PlacementRequest, agent: AgentView): Fit {
-  const { expected, dataCentre, farWay } = request
-  const run = runOf(request, agent)
-  const left = request.left - (agent.target?.dataCentre === dataCentre ? 0 : farWay)
-  if (run * (1 + SLACK_MARGIN_PART) <= left) return Fit.Safe
+  const { expected, dataCentre, remoteDelay } = request
+  const run = expectedRunOf(request, agent)
+  const left = request.left - (agent.target?.dataCentre === dataCentre ? 0 : remoteDelay)
+  if (run * (1 + SLACK_MARGIN_FRACTION) <= left) return Fit.Safe
   if (run <= left) return Fit.Tight
-  return run <= Math.max(left, expected) * LATE_FACTOR ? Fit.Late : Fit.Useless
+  return run <= Math.max(left, expected) * LATE_FACTOR ? Fit.Late : Fit.TooLate
 }
--- a/packages/dispatch/src/speeddefaults.ts
+++ b/packages/dispatch/src/speeddefaults.ts
@@ -1,76 +1,76 @@
 /** Constants of learned speeds and of placement by slack. */
 
-/** Half-life of what a task got done, for the pace of the middle task, and the longest time for which it is taken as known. */
+/** Half-life of the work samples in the speed ratio of the median task, and the longest time for which the computed value is reused. */
 export const TYPICAL_HALF_LIFE_MILLISECONDS = 600
 export const TYPICAL_REVIEW_MILLISECONDS = 50
 
-/** Most that one task weighs in that pace, in milliseconds, and tasks remembered for it. */
-export const TYPICAL_WEIGHT_MILLISECONDS = 300
+/** Maximum weight of one task in that speed ratio, in milliseconds, and the number of tasks kept for it. */
+export const MAX_TYPICAL_WEIGHT_MILLISECONDS = 300
 export const TYPICAL_TASKS = 64
 
-/** Half-life of run times in the steady pace of a target, and the time over which its ends are taken together. */
+/** Half-life of run times in the steady speed ratio of a target, and the interval over which ended tasks are combined into one sample. */
 export const STEADY_HALF_LIFE_MILLISECONDS = 10_000
-export const PACE_BATCH_MILLISECONDS = 500
+export const SPEED_RATIO_BATCH_MILLISECONDS = 500
 
-/** Expected run time from which a task weighs fully in that pace: calls to the target are part of the time of shorter ones. */
-export const WHOLE_WEIGHT_MILLISECONDS = 50
+/** Expected run time from which a task has full weight in that speed ratio: calls to the target distort the time of shorter ones. */
+export const FULL_WEIGHT_MILLISECONDS = 50
 
-/** How far estimates of single tasks are off, and the most that one counts, in the logarithm: the tail is kept apart. */
+/** Standard deviation of the log error of single estimates, and the bound to which a log error is clipped, so that the tail has little influence. */
 export const TASK_LOG_DEVIATION = 0.4
-export const TASK_LOG_LIMIT = 1
+export const MAX_TASK_LOG_ERROR = 1
 
-/** Distance of the pace of late from the steady one, in the logarithm, from which the target has changed: a factor of 1.8. */
-export const CHANGED_PACE = 0.6
+/** Difference between the logarithms of the recent and the steady speed ratio from which a target has changed: a factor of 1.8. */
+export const CHANGED_SPEED_RATIO = 0.6
 
-/** Error that remains however many tasks are seen, in the logarithm: targets get different kinds of task. */
-export const PACE_FLOOR_ERROR = 0.03
+/** Minimum log error of a speed ratio, however many tasks are measured: targets get different types of task. */
+export const MIN_SPEED_RATIO_ERROR = 0.03
 
-/** Error of a speed, in the logarithm, below which it is certain: machines differ by a quarter and more. */
+/** Log error below which a speed counts as certain: machines differ by a quarter and more. */
 export const CERTAIN_ERROR = 0.12
 
-/** Deviations of a whole group, of one target and of a label from which they are not chance: tested each tick, of dozens. */
-export const UNLIKELY_DEVIATIONS = 4
+/** Thresholds, in standard deviations, for the spread of a group, an outlying target and a label; high because dozens are tested each tick. */
+export const GROUP_DEVIATIONS = 4
 export const OUTLIER_DEVIATIONS = 5
 export const KIND_DEVIATIONS = 5
 
-/** Targets with and without a label from which it may explain speed. */
-export const LEAST_KIND_TARGETS = 2
+/** Minimum number of targets with a label, and of targets without it, for the label to identify a machine kind. */
+export const MIN_KIND_TARGETS = 2
 
-/** Tasks from which callers' estimates tell half of what they mean, and those that count in it. */
+/** Number of tasks at which callers' estimates have half of their full weight, and the number of tasks over which they are averaged. */
 export const UNIT_CERTAIN_TASKS = 50
 export const UNIT_MEMORY_TASKS = 2000
 
-/** Error of a pace that only the last second or two have shown, in the logarithm. */
-export const RECENT_PACE_ERROR = 0.25
+/** Log error of a speed ratio that was measured over only the last second or two. */
+export const RECENT_SPEED_RATIO_ERROR = 0.25
 
-/** Least time between two reviews of the speeds of all targets. */
+/** Minimum interval between two reviews of the speeds of all targets. */
 export const SPEEDS_REVIEW_MILLISECONDS = 100
 
-/** Kinds of which a line is logged, the time between two lines on one, and the change that is worth one, in the logarithm. */
-export const KIND_NOTES = 20
-export const KIND_NOTE_MILLISECONDS = 10_000
-export const KIND_SPEED_CHANGE = 0.1
+/** Number of machine kinds that are logged, the minimum interval between two log lines on one, and the minimum change of its log speed. */
+export const MAX_LOGGED_KINDS = 20
+export const KIND_LOG_INTERVAL_MILLISECONDS = 10_000
+export const MIN_LOGGED_SPEED_CHANGE = 0.1
 
-/** Least time between two lines that a target has become slow. */
-export const SLOW_NOTE_MILLISECONDS = 10_000
+/** Minimum interval between two log lines that a target has become slow. */
+export const SLOW_LOG_INTERVAL_MILLISECONDS = 10_000
 
-/** Speeds of one class follow each other by less than this factor. */
+/** Maximum ratio between successive speeds of one speed class. */
 export const SPEED_CLASS_STEP = 1.1
 
 // Placement by slack
 
-/** Part of its expected run time by which a task may take longer and still be in time at the target chosen for it. */
-export const SLACK_MARGIN_PART = 0.3
+/** Fraction of its expected run time that a task may take longer and still be in time at the chosen target. */
+export const SLACK_MARGIN_FRACTION = 0.3
 
-/** What it is worth to leave a target to others that is faster by a factor of e. */
-export const FAST_PLACE_MILLISECONDS = 100
+/** Cost of using a target that is faster by a factor of e, which other tasks may need. */
+export const FAST_TARGET_COST_MILLISECONDS = 100
 
-/** Part of all processors that the fastest targets must make for a task to wait for one of them. */
-export const FASTEST_PART = 0.1
+/** Fraction of all processors that the fastest targets must have for a task to wait for one of them. */
+export const FASTEST_FRACTION = 0.1
 
-/** Part of the near processors that is free from which far targets are avoided in full, and the weight of the newest task in the mean way. */
-export const NEAR_ROOM_PART = 0.2
-export const WAY_RATE = 0.02
+/** Fraction of free local processors from which the whole penalty applies to remote targets, and the weight of the newest task in the mean overhead. */
+export const LOCAL_CAPACITY_FRACTION = 0.2
+export const OVERHEAD_RATE = 0.02
 
-/** Waiting time, in parts of its objective, that it is worth to a begun job that nearly all of its tasks are placed: its last ones decide its end. */
-export const LAST_TASKS_PART = 0.1
+/** Waiting time, as a fraction of the objective, by which a started job with nearly all tasks placed is preferred: its last tasks decide its end. */
+export const LAST_TASKS_FRACTION = 0.1
--- a/packages/dispatch/src/steadypace.ts
+++ b/packages/dispatch/src/steadypace.ts
@@ -1,5 +1,5 @@
 /** Pace of a target over its last seconds, and how far it can be relied on. */
-import { CHANGED_PACE, PACE_BATCH_MILLISECONDS, STEADY_HALF_LIFE_MILLISECONDS, TASK_LOG_DEVIATION, TASK_LOG_LIMIT, WHOLE_WEIGHT_MILLISECONDS } from './speeddefaults.ts'
+import { CHANGED_SPEED_RATIO, SPEED_RATIO_BATCH_MILLISECONDS, STEADY_HALF_LIFE_MILLISECONDS, TASK_LOG_DEVIATION, MAX_TASK_LOG_ERROR, FULL_WEIGHT_MILLISECONDS } from './speeddefaults.ts'
 
 /** As it is told to entries. */
 export interface PaceTold {
@@ -30,10 +30,10 @@
     if (expected <= 0 || ran <= 0) return
     const log = Math.log(expected / ran)
     const { mean, weight: known } = this.#mean(now)
-    const limited = known < 1 ? log : Math.max(mean - TASK_LOG_LIMIT, Math.min(mean + TASK_LOG_LIMIT, log))
-    const weight = Math.min(1, expected / WHOLE_WEIGHT_MILLISECONDS)
+    const limited = known < 1 ? log : Math.max(mean - MAX_TASK_LOG_ERROR, Math.min(mean + MAX_TASK_LOG_ERROR, log))
+    const weight = Math.min(1, expected / FULL_WEIGHT_MILLISECONDS)
     const last = this.#batches.at(-1)
-    if (last === undefined || now - last.at >= PACE_BATCH_MILLISECONDS) {
+    if (last === undefined || now - last.at >= SPEED_RATIO_BATCH_MILLISECONDS) {
       this.#batches.push({ at: now, weight, sum: limited * weight })
       return
     }
@@ -48,7 +48,7 @@
   value (typical: number, now: number): PaceTold | undefined {
     const known = this.#known(now)
     if (known === undefined) return undefined
-    if (typical === 0 || Math.abs(Math.log(Math.max(typical, Number.MIN_VALUE) / known.pace)) < CHANGED_PACE) return known
+    if (typical === 0 || Math.abs(Math.log(Math.max(typical, Number.MIN_VALUE) / known.pace)) < CHANGED_SPEED_RATIO) return known
     this.#batches = []
     return undefined
   }
--- a/packages/dispatch/src/placing.ts
+++ b/packages/dispatch/src/taskplacer.ts
@@ -1,80 +1,80 @@
-/** Places queued tasks at targets with room: those of own jobs, and those that other entries ask room for, in one order. */
+/** Places queued tasks at targets with free capacity: those of own jobs and those that other entries request, in one order. */
 import type { Fleet, PlannedStart } from './fleet.ts'
 import type { AgentView } from './fleetview.ts'
 import type { Job, Step, Task } from './job.ts'
 import type { JobQueue } from './jobqueue.ts'
 import type { PlacementRequest } from './placement.ts'
 import type { Policy } from './policy.ts'
-import type { RoomRequest } from './roomrequest.ts'
-import type { Grant } from './roommessages.ts'
+import type { AllocationRequest } from './allocationrequest.ts'
+import type { Grant } from './peermessages.ts'
 import { endOfStep, JobState, TaskState } from './job.ts'
 import { Isolation } from './messages.ts'
 import { choose } from './placement.ts'
 import { RequestQueue } from './requestqueue.ts'
 import { chooseBySlack } from './slackplacement.ts'
 
-/** Where tasks may go now. */
+/** Agents whose targets may take tasks now. */
 export interface Candidates {
-  /** Of an own job. */
+  /** For a job of this entry. */
   own: (job: Job) => readonly AgentView[]
-  /** Of requests, by the group that they name. */
+  /** For requests, by the requested group. */
   byGroup: ReadonlyMap<string, readonly AgentView[]>
 }
 
-export interface PlacingParts {
+export interface TaskPlacerDependencies {
   fleet: Fleet
   dataCentre: string
   policy: Policy
-  /** Is told of each job of which the first task is placed. */
+  /** Called for each job when its first task is placed. */
   begun: (now: number) => void
-  /** Tells an entry of the room that it was given. */
-  granted: (request: RoomRequest, grants: Grant[], now: number) => void
+  /** Sends the grants to the requesting entry. */
+  onGranted: (request: AllocationRequest, grants: Grant[], now: number) => void
   /** Data centre of another entry. */
   dataCentreOf: (peer: string) => string
-  /** Entries that are linked, this one among them. */
+  /** Number of linked entries, including this one. */
   entries: () => number
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
 const NO_REQUESTS = new RequestQueue()
 
-export class Placing {
-  readonly #parts: PlacingParts
+export class TaskPlacer {
+  readonly #dependencies: TaskPlacerDependencies
 
-  constructor (parts: PlacingParts) {
-    this.#parts = parts
+  constructor (dependencies: TaskPlacerDependencies) {
+    this.#dependencies = dependencies
   }
 
-  /** Places what fits; what is left goes back into its queue. */
+  /** Places what fits; jobs and requests with unplaced tasks go back into their queues. */
   place (candidates: Candidates, jobs: JobQueue | undefined, requests: RequestQueue = NO_REQUESTS, now: number): void {
-    this.#parts.fleet.farCost.begin()
-    const waiting: Job[] = []
-    const asking: RoomRequest[] = []
-    const { scanLimit } = this.#parts.policy
+    this.#dependencies.fleet.farCost.clearLoads()
+    const unplacedJobs: Job[] = []
+    const unmetRequests: AllocationRequest[] = []
+    const { scanLimit } = this.#dependencies.policy
     const limit = scanLimit * (1 + requests.peers)
-    while (waiting.length + asking.length < limit) {
+    while (unplacedJobs.length + unmetRequests.length < limit) {
       const request = requests.nextOrder < (jobs?.nextOrder ?? Infinity) ? requests.take() : undefined
       if (request !== undefined) {
         this.#grant(request, candidates.byGroup.get(request.group) ?? [], now)
-        if (!request.done) asking.push(request)
+        if (!request.done) unmetRequests.push(request)
         continue
       }
       const job = jobs?.take()
       if (job === undefined) break
       this.#placeJob(job, candidates.own(job), now)
-      if (job.state === JobState.Open && job.queued().length > 0) waiting.push(job)
+      if (job.state === JobState.Open && job.queued().length > 0) unplacedJobs.push(job)
     }
-    for (const job of waiting) jobs?.add(job)
-    for (const request of asking) requests.add(request)
+    for (const job of unplacedJobs) jobs?.add(job)
+    for (const request of unmetRequests) requests.add(request)
   }
 
-  /** Starts tasks of a job at targets whose room is known to be theirs. */
+  /** Starts tasks of a job at targets whose capacity is granted to them. */
   start (job: Job, places: ReadonlyArray<{ task: Task, agent: AgentView }>, now: number): void {
     if (places.length === 0) return
     const starts = new Map<AgentView, PlannedStart[]>()
     for (const { task, agent } of places) {
-      const start = plan(job, task)
-      this.#parts.fleet.reserve(agent, start, now)
+      const start = planStart(job, task)
+      this.#dependencies.fleet.reserve(agent, start, now)
       const planned = starts.get(agent)
       if (planned === undefined) starts.set(agent, [start])
       else planned.push(start)
@@ -84,29 +84,29 @@
 
   #placeJob (job: Job, candidates: readonly AgentView[], now: number): void {
     const starts = new Map<AgentView, PlannedStart[]>()
-    const counts = new StepCounts(index => this.#parts.fleet.agentsOf(job, index))
+    const counts = new StepCounts(index => this.#dependencies.fleet.agentsOf(job, index))
     for (const task of job.queued()) {
       const step = job.request.steps[task.step] as Step
       const agent = this.#choose({
         step,
         expected: job.expected[task.step] ?? 0,
         now,
-        left: this.#parts.policy.placesBySlack ? endOfStep(job, task.step) - now : Infinity,
+        left: this.#dependencies.policy.placesBySlack ? endOfStep(job, task.step) - now : Infinity,
         avoid: task.avoid,
         isolation: task.isolation,
-        dataCentre: this.#parts.dataCentre,
+        dataCentre: this.#dependencies.dataCentre,
         placedAt: ({ name }) => counts.at(task.step, name),
         hasPlace: agent => agent.hasPlace(),
         isUsed: agent => agent.placements.size > 0,
-        entries: this.#parts.entries(),
-        policy: this.#parts.policy,
-        farPenalty: this.#parts.policy.farPenalty,
-        farWay: 0
+        entries: this.#dependencies.entries(),
+        policy: this.#dependencies.policy,
+        farPenalty: this.#dependencies.policy.farPenalty,
+        remoteDelay: 0
       }, candidates, job.request.queue.service)
       if (agent === undefined) continue
       counts.add(task.step, agent.name)
-      const start = plan(job, task)
-      this.#parts.fleet.reserve(agent, start, now)
+      const start = planStart(job, task)
+      this.#dependencies.fleet.reserve(agent, start, now)
       const planned = starts.get(agent)
       if (planned === undefined) starts.set(agent, [start])
       else planned.push(start)
@@ -115,25 +115,25 @@
   }
 
   #send (job: Job, starts: ReadonlyMap<AgentView, PlannedStart[]>, now: number): void {
-    if (!job.started) this.#parts.begun(now)
+    if (!job.started) this.#dependencies.begun(now)
     job.started = true
     job.offeredAt ??= now
-    for (const [agent, planned] of starts) this.#parts.fleet.send(agent, job, planned, now)
+    for (const [agent, planned] of starts) this.#dependencies.fleet.send(agent, job, planned, now)
     const at = [...starts].map(([agent, planned]) => [agent.name, planned.length, Math.round(now - agent.heardAt)])
-    this.#parts.note('tasks placed', { job: job.request.id, at, waited: Math.round(now - job.arrivedAt), left: job.queued().length })
+    this.#dependencies.note('tasks placed', { job: job.request.id, at, waited: Math.round(now - job.arrivedAt), left: job.queued().length })
   }
 
-  /** Changes the request in place: a copy for each task takes longer than the choice itself. */
+  /** Modifies the request in place: copying it for each task would take longer than the choice itself. */
   #choose (request: PlacementRequest, candidates: readonly AgentView[], service: string): AgentView | undefined {
-    const { policy, fleet: { farCost, speeds } } = this.#parts
-    // An entry of an earlier build does not say how much time is left.
+    const { policy, fleet: { farCost, speeds } } = this.#dependencies
+    // Entries of earlier builds omit the time left.
     if (!policy.placesBySlack || request.left === Infinity) return choose(request, candidates)
     request.farPenalty = farCost.of(request.dataCentre)
-    request.farWay = farCost.way
+    request.remoteDelay = farCost.remoteDelay
     return chooseBySlack(request, candidates, speeds.fastest(service, request.step.label))
   }
 
-  #grant (request: RoomRequest, group: readonly AgentView[], now: number): void {
+  #grant (request: AllocationRequest, group: readonly AgentView[], now: number): void {
     const candidates = group.filter(({ name }) => request.allows(name))
     const grants: Grant[] = []
     const counts = new StepCounts(index => request.placed(index))
@@ -145,14 +145,14 @@
         left: request.arrivedAt + (step.endBy ?? Infinity) - now,
         avoid: task.avoid,
         isolation: task.isolation ?? Isolation.None,
-        dataCentre: this.#parts.dataCentreOf(request.peer),
+        dataCentre: this.#dependencies.dataCentreOf(request.peer),
         hasPlace: agent => agent.hasRoomForOthers,
         isUsed: agent => agent.isUsedBy(request.peer, now),
-        entries: this.#parts.entries(),
+        entries: this.#dependencies.entries(),
         placedAt: ({ name }) => counts.at(step.index, name),
-        policy: this.#parts.policy,
-        farPenalty: this.#parts.policy.farPenalty,
-        farWay: 0
+        policy: this.#dependencies.policy,
+        farPenalty: this.#dependencies.policy.farPenalty,
+        remoteDelay: 0
       }, candidates, request.service)
       if (agent === undefined) continue
       counts.add(step.index, agent.name)
@@ -162,23 +162,23 @@
       agent.noteUse(request.peer, now + step.expected)
       grants.push({ task: task.name, agent: agent.name })
     }
-    if (grants.length > 0) this.#parts.granted(request, grants, now)
+    if (grants.length > 0) this.#dependencies.onGranted(request, grants, now)
   }
 }
 
-function plan (job: Job, task: Task): PlannedStart {
+function planStart (job: Job, task: Task): PlannedStart {
   task.state = TaskState.Placed
   task.attempt += 1
   job.placed += 1
   return { task, needs: (job.request.steps[task.step] as Step).needs, expected: job.expected[task.step] ?? 0 }
 }
 
-/** How many tasks of each step of a job are at each target. */
+/** Number of tasks of each step of a job at each target. */
 class StepCounts {
   readonly #placed: (step: number) => readonly string[]
   readonly #steps = new Map<number, Map<string, number>>()
 
-  /** @param placed agents with tasks of a step, each as often as it has one */
+  /** @param placed agents with placed tasks of a step, repeated for each task */
   constructor (placed: (step: number) => readonly string[]) {
     this.#placed = placed
   }
--- a/packages/dispatch/src/typicalpace.ts
+++ b/packages/dispatch/src/typicalpace.ts
@@ -1,6 +1,6 @@
 /** Pace of the middle one of a target's tasks: a few that take many times as long as expected do not move it. */
 import type { HeldTask } from './heldtasks.ts'
-import { TYPICAL_HALF_LIFE_MILLISECONDS, TYPICAL_REVIEW_MILLISECONDS, TYPICAL_TASKS, TYPICAL_WEIGHT_MILLISECONDS } from './speeddefaults.ts'
+import { TYPICAL_HALF_LIFE_MILLISECONDS, TYPICAL_REVIEW_MILLISECONDS, TYPICAL_TASKS, MAX_TYPICAL_WEIGHT_MILLISECONDS } from './speeddefaults.ts'
 
 interface Sample {
   /** Expected work done, and the time that it took, in milliseconds; older parts fade out. */
@@ -47,7 +47,7 @@
         this.#samples.delete(held)
         continue
       }
-      const weight = Math.min(sample.time, TYPICAL_WEIGHT_MILLISECONDS)
+      const weight = Math.min(sample.time, MAX_TYPICAL_WEIGHT_MILLISECONDS)
       whole += weight
       rates.push({ rate: sample.work / sample.time, weight })
     }
--- a/packages/dispatch/test/roomsharing.test.ts
+++ b/packages/dispatch/test/capacityallocation.test.ts
@@ -1,4 +1,4 @@
-import type { PeerMessage } from '../src/roommessages.ts'
+import type { PeerMessage } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { ALLOCATOR_SILENCE_MILLISECONDS, GRANT_MILLISECONDS, GROUP_TARGETS, SETTLING_MILLISECONDS } from '../src/defaults.ts'
@@ -7,22 +7,22 @@
 
 type MessageOf<Type extends PeerMessage['type']> = Extract<PeerMessage, { type: Type }>
 
-const SETTLED = SETTLING_MILLISECONDS + 100
+const SETTLED_MILLISECONDS = SETTLING_MILLISECONDS + 100
 
-/** An entry that asks `chief`, which has the faster processor. */
+/** An entry that sends requests to `chief`, which has the faster processor. */
 function asking (...agents: string[]): EntryBench {
   const bench = EntryBench.withAgents(...agents)
   bench.peer('chief', 1)
-  bench.pass(SETTLED, agents)
+  bench.pass(SETTLED_MILLISECONDS, agents)
   bench.take()
   return bench
 }
 
-/** An entry that gives out room to `other`. */
+/** An entry that allocates capacity for `other`. */
 function allocating (...agents: string[]): EntryBench {
   const bench = EntryBench.withAgents(...agents)
   bench.peer('other', -1)
-  bench.pass(SETTLED, agents)
+  bench.pass(SETTLED_MILLISECONDS, agents)
   bench.take()
   return bench
 }
@@ -37,12 +37,12 @@
   return bench.told(peer).filter((message): message is MessageOf<Type> => message.type === type)
 }
 
-/** Tasks to which `other` was given room, with their agents. */
+/** Tasks of `other` with granted capacity, with their agents. */
 function grants (bench: EntryBench): string[] {
   return messages(bench, 'other', 'grant').flatMap(message => message.grants.map(({ task, agent }) => `${task} ${agent}`))
 }
 
-test('an entry asks the one that gives out the room, and starts what it is granted', () => {
+test('an entry requests capacity from the allocator, and starts the granted tasks', () => {
   const bench = asking('one', 'two')
   bench.submit('job', [step(2)])
   expect(bench.starts()).toEqual([])
@@ -51,9 +51,9 @@
   expect(bench.starts()).toEqual(['two job.0.0 1', 'one job.0.1 1'])
 })
 
-// Three entries saw the same room and sent their starts there: one of them was refused, a round trip later. What is under
-// way to a target is no room any more, though the target has not heard of it.
-test('room that is granted is not granted again before its start arrives', () => {
+// Guards against several entries sending starts for the same capacity, of which one is rejected a round trip later. A start
+// in transit uses capacity before the target receives it.
+test('granted capacity is not granted again before its start arrives', () => {
   const bench = allocating('one')
   bench.hear('other', ask('first', 3))
   bench.hear('other', ask('second', 2))
@@ -63,7 +63,7 @@
   expect(grants(bench)).toEqual(['second.0.1 one'])
 })
 
-test('own jobs and requests of others get room in one order', () => {
+test('own jobs and requests of others get capacity in one order', () => {
   const bench = allocating('one')
   bench.submit('filler', [step(4)])
   bench.submit('own')
@@ -74,7 +74,7 @@
   expect(bench.starts().at(-1)).toEqual('one own.0.0 1')
 })
 
-test('granted room is free again when the entry gives it back, or its start does not arrive', () => {
+test('granted capacity is free again when the entry releases it, or its start does not arrive', () => {
   const bench = allocating('one')
   bench.hear('other', ask('first', 4))
   bench.hear('other', ask('second', 2))
@@ -98,9 +98,9 @@
   expect(bench.told('gone').concat(bench.told('other')).filter(({ type }) => type === 'grant')).toEqual([])
 })
 
-// A target fails all that one entry starts there. Another, which gives out the room, has seen nothing of it; and what it has
-// seen itself is no reason to keep the asking entry from a target that serves it well.
-test('each entry judges by itself how far it trusts a target', () => {
+// A target may fail all starts of one entry while the allocator observes no failure; and failures that the allocator observes
+// are no reason to deny the requesting entry a target that works for it.
+test('each entry judges the health of a target independently', () => {
   const bench = asking('one', 'two')
   bench.submit('job', [step(1)])
   bench.hear('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'one' }], waited: 0 })
@@ -109,13 +109,13 @@
   expect(messages(bench, 'chief', 'ask').map(({ except }) => except)).toEqual([['one']])
 })
 
-test('an agent that the asking entry cannot use is not given to it', () => {
+test('an agent that the requesting entry cannot use is not granted to it', () => {
   const bench = allocating('one', 'two')
   bench.hear('other', ask('job', 2, { except: ['one'] }))
   expect(grants(bench)).toEqual(['job.0.0 two', 'job.0.1 two'])
 })
 
-test('a grant that comes too late is given back', () => {
+test('a grant that arrives too late is released', () => {
   const bench = asking('one')
   const request = bench.submit('job')
   bench.do({ type: 'requestGone', request })
@@ -124,23 +124,23 @@
   expect(bench.told('chief').map(({ type }) => type)).toEqual(['ask', 'unask', 'release'])
 })
 
-// The entry that gives out the room is frozen, or its machine has lost power without a sign. Its callers are lost; those of
-// the others must not be.
-test('an entry that gives no sign of life is not waited for', () => {
+// The allocator is frozen or its machine has lost power without closing links. Its own callers are lost; those of other
+// entries must not be.
+test('a job does not wait for an unresponsive allocator', () => {
   const bench = asking('one')
   bench.submit('job')
   bench.pass(ALLOCATOR_SILENCE_MILLISECONDS + 50, ['one'])
   expect(bench.starts()).toEqual(['one job.0.0 1'])
 })
 
-test('an entry whose link has ended is not waited for', () => {
+test('a job does not wait for an allocator whose link has ended', () => {
   const bench = asking('one')
   bench.submit('job')
   bench.do({ type: 'peerUnlinked', peer: 'chief' })
   expect(bench.starts()).toEqual(['one job.0.0 1'])
 })
 
-test('an entry that has just started gives out no room', () => {
+test('an entry that has just started allocates no capacity', () => {
   const bench = EntryBench.withAgents('one')
   bench.peer('other', -1)
   bench.pass(SETTLING_MILLISECONDS - 100, ['one'])
@@ -148,16 +148,16 @@
   expect(messages(bench, 'other', 'ask').length).toEqual(1)
 })
 
-test('an entry that stops leaves the giving out of room to another', () => {
+test('an entry that stops leaves the allocation to another', () => {
   const bench = allocating('one')
   bench.do({ type: 'stopOrdered' })
   bench.pass(100, ['one'])
   expect(messages(bench, 'other', 'member').map(({ able }) => able)).toEqual([false])
 })
 
-// The answer of a slow allocator takes 50 ms. Jobs with little time were refused meanwhile although targets had room: 0.05 of
-// a day's service on entries of 0.12 cores.
-test('a job is not refused as late while its request is merely under way', () => {
+// The answer of a slow allocator takes 50 ms. Refusing jobs with little time meanwhile, although targets have capacity, costs
+// 0.05 of a day's service on entries of 0.12 cores.
+test('a job is not refused as late while its request merely awaits an answer', () => {
   const bench = asking('one')
   const queue = { ...QUEUE, slackFactor: 1, latency: 100 }
   bench.submit('first', [step(1, { estimated: 100 })], { queue })
@@ -176,12 +176,12 @@
   const names = Array.from({ length: 2 * GROUP_TARGETS }, (_none, index) => `agent${index}`)
   for (const [index, name] of names.entries()) bench.link(name, { dataCentre: index % 2 === 0 ? 'one' : 'two' })
   bench.peer('far', 1, 'two')
-  bench.pass(SETTLED, names)
+  bench.pass(SETTLED_MILLISECONDS, names)
   return bench
 }
 
-// One data centre's callers come in a burst, and its targets are full while those of another stand idle.
-test('what finds no room at home is asked for where there is some', () => {
+// After a burst of callers in one data centre its targets are full while those of another are idle.
+test('what does not fit in the home group is requested from a group with free capacity', () => {
   const bench = withTwoGroups()
   bench.peer('near', 1)
   bench.pass(100)
@@ -194,19 +194,19 @@
   expect(messages(bench, 'near', 'ask').map(({ group, waits }) => [group, waits])).toEqual([['one', true]])
 })
 
-test('the others are told of the free room of a group, and again when it has changed', () => {
+test('the free capacity of a group is reported to the others, and again when it has changed', () => {
   const bench = withTwoGroups()
-  const told = (): number[] => messages(bench, 'far', 'room').map(({ free }) => free)
-  expect(told()).toEqual([GROUP_TARGETS * 8000])
+  const reported = (): number[] => messages(bench, 'far', 'room').map(({ free }) => free)
+  expect(reported()).toEqual([GROUP_TARGETS * 8000])
   bench.submit('small')
   bench.pass(200)
-  expect(told()).toEqual([GROUP_TARGETS * 8000])
+  expect(reported()).toEqual([GROUP_TARGETS * 8000])
   bench.submit('large', [step(GROUP_TARGETS)])
   bench.pass(200)
-  expect(told()).toEqual([GROUP_TARGETS * 8000, GROUP_TARGETS * 6000 - 2000])
+  expect(reported()).toEqual([GROUP_TARGETS * 8000, GROUP_TARGETS * 6000 - 2000])
 })
 
-test('an entry whose own group is full asks for room elsewhere', () => {
+test('an entry whose own group is full requests capacity elsewhere', () => {
   const bench = withTwoGroups()
   bench.hear('far', { type: 'room', group: 'two', free: 100_000 })
   bench.submit('filler', [step(4 * GROUP_TARGETS)])
@@ -215,16 +215,16 @@
   expect(messages(bench, 'far', 'ask').map(({ job }) => job)).toEqual(['job'])
 })
 
-test('a request that does not want to wait is declined when it does not fit', () => {
+test('a request that may not wait is declined when it does not fit', () => {
   const bench = allocating('one')
   bench.hear('other', ask('job', 5, { waits: false }))
   expect(grants(bench).length).toEqual(4)
   expect(messages(bench, 'other', 'declined').map(({ job, free }) => [job, free])).toEqual([['job', 0]])
 })
 
-// On processors of 0.12 cores an answer on room takes 20 to 60 ms, more than a refused start costs: jobs with little time
-// were late for it.
-test('an entry whose requests are answered slowly chooses by itself, and asks again when answers are quick', () => {
+// On processors of 0.12 cores an answer takes 20 to 60 ms, more than a rejected start costs, which makes jobs with little time
+// late.
+test('an entry whose requests are answered slowly chooses targets itself, and sends requests again when answers are fast', () => {
   const bench = asking('one', 'two')
   const answerAfter = (job: string, milliseconds: number): void => {
     bench.submit(job)
--- a/packages/dispatch/test/capacityshares.test.ts
+++ b/packages/dispatch/test/capacityshares.test.ts
@@ -1,5 +1,5 @@
 /** How a capacity is divided among kinds of job, and how soon it changes hands. */
-import type { KindDemand } from '../src/roommessages.ts'
+import type { QueueDemand } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { maxMinShares } from '../src/capacityshares.ts'
@@ -14,12 +14,12 @@
 
 const ONE = (): number => 1
 
-function kind (name: string, offered: number, priority = 0): KindDemand {
+function kind (name: string, offered: number, priority = 0): QueueDemand {
   return { name, service: 'service', priority, offered, running: 0, waiting: 0 }
 }
 
 /** Parts of three kinds that are admitted, of a fleet of 100 cores that are all in use. */
-function thresholds (demands: KindDemand[], weightOf: (priority: number) => number = ONE): number[] {
+function thresholds (demands: QueueDemand[], weightOf: (priority: number) => number = ONE): number[] {
   return planShares({ capacity: 100, wanted: AIM, trim: 1, refuses: true }, demands, weightOf).map(({ threshold }) => Math.round(threshold * 100) / 100)
 }
 
--- a/packages/dispatch/test/fleetadmission.test.ts
+++ b/packages/dispatch/test/fleetadmission.test.ts
@@ -1,6 +1,6 @@
 /** Admission by the demand and the capacity of all entries, of one entry that is driven by hand. */
 import type { Queue } from '../src/queues.ts'
-import type { KindDemand } from '../src/roommessages.ts'
+import type { QueueDemand } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { DEMAND_LIMIT_CORES } from '../src/admissiondefaults.ts'
@@ -13,7 +13,7 @@
   return new EntryBench({ policy: { fleetAdmission: true, ...policy } }).serving('a1', 'a2')
 }
 
-function demand (name: string, offered: number, held = 0): KindDemand {
+function demand (name: string, offered: number, held = 0): QueueDemand {
   return { name, service: 'checks', priority: 0, offered, running: held, waiting: 0 }
 }
 
@@ -116,8 +116,8 @@
 // Guards against a peer that is out of its mind: what it says must be bounded, and must not bring an entry down.
 test('a peer that reports nonsense is cut down to what may be', () => {
   const view = new DemandView()
-  const wild = { name: 'checks', service: 'checks', priority: Number.NaN, offered: Infinity, running: -5, waiting: 'much' } as unknown as KindDemand
-  const kinds = [wild, undefined, { name: 'x'.repeat(1000), service: 's' }, ...Array.from({ length: 500 }, (_none, index) => demand(`kind${index}`, 1))] as KindDemand[]
+  const wild = { name: 'checks', service: 'checks', priority: Number.NaN, offered: Infinity, running: -5, waiting: 'much' } as unknown as QueueDemand
+  const kinds = [wild, undefined, { name: 'x'.repeat(1000), service: 's' }, ...Array.from({ length: 500 }, (_none, index) => demand(`kind${index}`, 1))] as QueueDemand[]
   view.heard('other', { type: 'demand', dataCentre: 'two', kinds }, 1000)
   const fresh = view.fresh(1000)
   expect(fresh.length <= 32).toEqual(true)
--- a/packages/dispatch/test/learnedspeeds.test.ts
+++ b/packages/dispatch/test/learnedspeeds.test.ts
@@ -8,21 +8,21 @@
 const SLOW = ['slow0', 'slow1']
 const FAST = ['fast0', 'fast1', 'fast2', 'fast3']
 
-function told (bench: EntryBench, agent: string, pace: number, error = 0.05): void {
+function reportSpeed (bench: EntryBench, agent: string, pace: number, error = 0.05): void {
   bench.do({ type: 'agentMessage', agent, message: { type: 'ping', sent: bench.now, load: { ...NO_LOAD, pace, steady: { pace, error } } } })
 }
 
-/** An entry that hears of its fleet for the first time. */
-function started (): EntryBench {
+/** An entry that has just been linked to its fleet. */
+function startedEntry (): EntryBench {
   const bench = EntryBench.under(POLICY)
   for (const name of SLOW) bench.link(name, { labels: ['a'] })
   for (const name of FAST) bench.link(name, { labels: ['b'] })
   return bench
 }
 
-function tellAll (bench: EntryBench): void {
-  for (const name of SLOW) told(bench, name, 0.5)
-  for (const name of FAST) told(bench, name, 1.1)
+function reportSpeeds (bench: EntryBench): void {
+  for (const name of SLOW) reportSpeed(bench, name, 0.5)
+  for (const name of FAST) reportSpeed(bench, name, 1.1)
 }
 
 function placedAt (bench: EntryBench): string[] {
@@ -31,26 +31,26 @@
   return agents
 }
 
-/** Submits a task with so much time for each millisecond of work, and tells where it went. */
+/** Submits a task with an estimated run time and returns the agent at which it was placed. */
 function place (bench: EntryBench, id: string, estimated: number): string | undefined {
   bench.submit(id, [step(1, { estimated })])
   return placedAt(bench)[0]
 }
 
-// The speeds that an entry had learned went with it, and its successor left long tasks on slow targets for seconds.
-test('an entry that has just started places by the speeds that agents tell', () => {
-  const bench = started()
-  tellAll(bench)
+// Guards against an entry that restarts without learned speeds and places long tasks at slow targets for seconds.
+test('an entry that has just started places tasks by the speeds that agents report', () => {
+  const bench = startedEntry()
+  reportSpeeds(bench)
   bench.pass(100)
   bench.take()
   expect(SLOW.includes(place(bench, 'short', 50) ?? '')).toEqual(true)
   expect(FAST.includes(place(bench, 'long', 900) ?? '')).toEqual(true)
 })
 
-// A target that is throttled while its steady pace is no longer told drew the next long tasks.
-test('a target that turns slow gets one task at a time until it is certain', () => {
-  const bench = started()
-  tellAll(bench)
+// Guards against placing long tasks at a target that is throttled and has stopped reporting a steady speed ratio.
+test('a target that becomes slow gets one task at a time until its speed is certain', () => {
+  const bench = startedEntry()
+  reportSpeeds(bench)
   bench.pass(100)
   for (const name of FAST.slice(1)) bench.ping(name, 8000)
   for (const name of SLOW) bench.ping(name, 8000)
@@ -61,9 +61,9 @@
   expect(placedAt(bench).length <= 1).toEqual(true)
 })
 
-test('a target that nobody knows yet is placed at as one of its kind', () => {
-  const bench = started()
-  tellAll(bench)
+test('a target without measurements gets tasks by the speed of its machine kind', () => {
+  const bench = startedEntry()
+  reportSpeeds(bench)
   bench.pass(100)
   for (const name of [...SLOW, ...FAST]) bench.ping(name, 8000)
   bench.link('new', { labels: ['a'] })
@@ -73,7 +73,7 @@
   expect(place(bench, 'short', 50)).toEqual('new')
 })
 
-test('the status tells targets by class of speed, how many are certain, and the speeds of kinds', () => {
+test('the status lists targets by speed class, how many are certain, and the speeds of machine kinds', () => {
   const speeds = new FleetSpeeds({ policy: { ...POLICY, learnsSpeed: true, probesSlow: true }, note: () => {} })
   const agents = [...SLOW, ...FAST].map(name => {
     const agent = new AgentView(name)
@@ -89,8 +89,8 @@
   expect(Math.abs((kinds['fast'] ?? 0) / (kinds['slow'] ?? 1) - 2) < 0.1).toEqual(true)
 })
 
-// The fast targets leave, or their data centre is evacuated: they will have no room soon.
-test('targets that take no work are not waited for', () => {
+// Leaving targets and those in an evacuated data centre will not have free capacity soon.
+test('tasks do not wait for targets that accept no work', () => {
   const speeds = new FleetSpeeds({ policy: { ...POLICY, learnsSpeed: true, probesSlow: true }, note: () => {} })
   const agents = ['slow', 'leaving', 'evacuated'].map(name => {
     const agent = new AgentView(name)
@@ -104,11 +104,11 @@
   expect(speeds.fastest('checks', '')).toEqual(0.5)
 })
 
-test('the speed of a kind is logged once', () => {
-  const bench = started()
+test('the speed of a machine kind is logged once', () => {
+  const bench = startedEntry()
   const notes: unknown[] = []
   for (let second = 0; second < 40; second += 1) {
-    tellAll(bench)
+    reportSpeeds(bench)
     bench.pass(250)
     notes.push(...bench.take().flatMap(effect => effect.type === 'note' && effect.what === 'speed of a kind learned' ? [effect.fields['kind']] : []))
   }
--- a/packages/dispatch/test/mixedbuilds.test.ts
+++ b/packages/dispatch/test/mixedbuilds.test.ts
@@ -1,5 +1,5 @@
 import type { AgentMessage, EntryMessage } from '../src/messages.ts'
-import type { PeerMessage } from '../src/roommessages.ts'
+import type { PeerMessage } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { SETTLING_MILLISECONDS } from '../src/defaults.ts'
--- a/packages/dispatch/test/partitions.test.ts
+++ b/packages/dispatch/test/partitions.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { PARTITION_SLACK } from '../src/partitiondefaults.ts'
-import { choosePartition, UNKNOWN_ROOM } from '../src/partitionchoice.ts'
+import { choosePartition, UNKNOWN_CAPACITY } from '../src/partitionchoice.ts'
 import { partition } from '../src/partitions.ts'
-import { ProcessorLag } from '../src/processorlag.ts'
+import { EventLoopLag } from '../src/eventlooplag.ts'
 
 const DATA_CENTRES = ['one', 'two', 'three', 'four']
 
@@ -22,14 +22,14 @@
   return [...sizes.values()]
 }
 
-test('each target has one holder, the same in whatever order targets and holders are known', () => {
+test('each target has one holder, regardless of the order of targets and holders', () => {
   const held = partition(targets(48), holders(8))
   expect(held.size).toEqual(48)
   expect(new Map([...partition(targets(48).reverse(), holders(8).reverse())].sort())).toEqual(new Map([...held].sort()))
 })
 
-// Sums of fractions depend on their order by the last digit, which a share that is rounded up makes a whole target.
-test('the shares of holders with unequal processors are the same in whatever order they are known', () => {
+// Floating-point sums depend on their order in the last digit; rounding a share up turns that into a whole target.
+test('the shares of holders with unequal processors do not depend on the order of the holders', () => {
   const unequal = holders(4).map((holder, index) => ({ ...holder, strength: index < 2 ? 2.1 : 0.1 }))
   const few = ['agent3.0', 'agent3.1', 'agent3.2', 'agent3.3'].map(name => ({ name, service: 'checks', dataCentre: 'five' }))
   expect(partition(few, [...unequal].reverse())).toEqual(partition(few, unequal))
@@ -40,7 +40,7 @@
   expect(Math.max(...sizesOf(partition(targets(160), holders(70)))) <= Math.ceil(160 / 70 * PARTITION_SLACK)).toEqual(true)
 })
 
-test('targets are held in their own data centre where its entries have not their share yet', () => {
+test('targets are held in their own data centre while its entries are below their share', () => {
   const entries = new Map(holders(8).map(({ name, dataCentre }) => [name, dataCentre]))
   const held = partition(targets(48), holders(8))
   expect(targets(48).every(({ name, dataCentre }) => entries.get(held.get(name) as string) === dataCentre)).toEqual(true)
@@ -48,14 +48,14 @@
   expect(new Set(away.values()).size).toEqual(8)
 })
 
-test('a slower processor holds less, and one that is far slower nothing', () => {
+test('an entry with a slower processor holds fewer targets, and one with a far slower processor none', () => {
   const mixed = [...holders(4), { name: 'half', strength: -1, dataCentre: 'one' }, { name: 'weak', strength: -3, dataCentre: 'one' }]
   const names = [...partition(targets(60), mixed).values()]
   expect(names.filter(name => name === 'half').length <= Math.ceil(60 / 4.5 / 2 * PARTITION_SLACK)).toEqual(true)
   expect(names.includes('weak')).toEqual(false)
 })
 
-test('the targets of a holder that leaves are spread, and few others move', () => {
+test('the targets of a holder that leaves are distributed, and few others move', () => {
   const before = partition(targets(48), holders(8))
   const after = partition(targets(48), holders(8).slice(1))
   const moved = [...after].filter(([target, holder]) => before.get(target) !== holder)
@@ -63,23 +63,23 @@
   expect(moved.length >= own && moved.length <= 3 * own).toEqual(true)
 })
 
-test('room that is known to be ample is asked for before scarce or unknown room', () => {
-  const room = (name: string, free: number, near = true): { name: string, free: number, near: boolean } => ({ name, free, near })
-  expect(choosePartition('job', 4000, 2000, [room('scarce', 3000), room('ample', 9000, false), room('unknown', UNKNOWN_ROOM)])).toEqual('ample')
-  expect(choosePartition('job', 4000, 2000, [room('scarce', 3000), room('unknown', UNKNOWN_ROOM), room('none', 0)])).toEqual('scarce')
-  expect(choosePartition('job', 4000, 2000, [room('unknown', UNKNOWN_ROOM), room('none', 0)])).toEqual('unknown')
-  expect(choosePartition('job', 4000, 2000, [room('none', 0)])).toEqual(undefined)
+test('capacity is requested from a partition with ample capacity before one with scarce or unknown capacity', () => {
+  const partitionWith = (name: string, free: number, near = true): { name: string, free: number, near: boolean } => ({ name, free, near })
+  expect(choosePartition('job', 4000, 2000, [partitionWith('scarce', 3000), partitionWith('ample', 9000, false), partitionWith('unknown', UNKNOWN_CAPACITY)])).toEqual('ample')
+  expect(choosePartition('job', 4000, 2000, [partitionWith('scarce', 3000), partitionWith('unknown', UNKNOWN_CAPACITY), partitionWith('none', 0)])).toEqual('scarce')
+  expect(choosePartition('job', 4000, 2000, [partitionWith('unknown', UNKNOWN_CAPACITY), partitionWith('none', 0)])).toEqual('unknown')
+  expect(choosePartition('job', 4000, 2000, [partitionWith('none', 0)])).toEqual(undefined)
 })
 
-// All entries hear of the same room at the same moment.
-test('jobs ask different partitions with the same room', () => {
-  const rooms = ['first', 'second', 'third', 'fourth'].map(name => ({ name, free: 50_000, near: true }))
-  const asked = Array.from({ length: 200 }, (_none, index) => choosePartition(`job${index}`, 4000, 2000, rooms))
-  for (const { name } of rooms) expect(asked.filter(holder => holder === name).length > 25).toEqual(true)
+// All entries receive the same free capacity at the same moment.
+test('jobs request capacity from different partitions with equal free capacity', () => {
+  const equalPartitions = ['first', 'second', 'third', 'fourth'].map(name => ({ name, free: 50_000, near: true }))
+  const chosen = Array.from({ length: 200 }, (_none, index) => choosePartition(`job${index}`, 4000, 2000, equalPartitions))
+  for (const { name } of equalPartitions) expect(chosen.filter(holder => holder === name).length > 25).toEqual(true)
 })
 
-test('late ticks make a process lag until they have been punctual for a while', () => {
-  const lag = new ProcessorLag()
+test('a process with late ticks lags until its ticks have been on time for a while', () => {
+  const lag = new EventLoopLag()
   let now = 0
   const tick = (pause: number): boolean => {
     now += pause
@@ -93,8 +93,8 @@
   expect(lag.lagging).toEqual(false)
 })
 
-test('a process without work is not late when its ticks come more seldom', () => {
-  const lag = new ProcessorLag()
+test('the longer tick interval of an idle process does not count as lag', () => {
+  const lag = new EventLoopLag()
   for (let now = 0; now < 2000; now += 100) lag.tick(now, false)
   expect([lag.lagging, lag.milliseconds]).toEqual([false, 0])
 })
--- a/packages/dispatch/test/partitionsharing.test.ts
+++ b/packages/dispatch/test/partitionsharing.test.ts
@@ -1,8 +1,8 @@
-import type { PeerMessage } from '../src/roommessages.ts'
+import type { PeerMessage } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { SETTLING_MILLISECONDS } from '../src/defaults.ts'
-import { HOLDER_SILENCE_MILLISECONDS, QUICK_FOR_MILLISECONDS, UNANSWERED_MILLISECONDS, UNANSWERING_MILLISECONDS } from '../src/partitiondefaults.ts'
+import { HOLDER_TIMEOUT_MILLISECONDS, LOW_LAG_DURATION_MILLISECONDS, REQUEST_TIMEOUT_MILLISECONDS, UNRESPONSIVE_PAUSE_MILLISECONDS } from '../src/partitiondefaults.ts'
 import { Entry } from '../src/entry.ts'
 import { partition } from '../src/partitions.ts'
 import { TIMINGS } from './agentbench.ts'
@@ -11,18 +11,18 @@
 type MessageOf<Type extends PeerMessage['type']> = Extract<PeerMessage, { type: Type }>
 
 const AGENTS = ['one', 'two', 'three', 'four', 'five', 'six']
-const ROOM: MessageOf<'room'> = { type: 'room', group: 'other', free: 24_000 }
+const FREE_CAPACITY: MessageOf<'room'> = { type: 'room', group: 'other', free: 24_000 }
 
-/** Half of a tick: how late a time limit of the entry may be seen to have passed. */
+/** Interval of ticks, by which the expiry of a timeout may be noticed late. */
 const TICK = 50
 
 class PartitionBench extends EntryBench {
   override readonly entry = new Entry({ name: 'self', dataCentre: 'one', timings: TIMINGS, grace: 6000, policy: { partitions: true } })
 
-  /** Whole seconds in which the other entries tell of themselves as holders do. */
-  live (milliseconds: number, peers: string[] = []): void {
+  /** Advances the time while the other entries report free capacity, as holders do. */
+  passWithReports (milliseconds: number, peers: string[] = []): void {
     for (let passed = 0; passed < milliseconds; passed += 200) {
-      for (const peer of peers) this.hear(peer, { ...ROOM, group: peer })
+      for (const peer of peers) this.hear(peer, { ...FREE_CAPACITY, group: peer })
       this.pass(Math.min(200, milliseconds - passed), AGENTS)
     }
   }
@@ -36,7 +36,7 @@
   }
 }
 
-/** Targets of an entry when these entries hold some. */
+/** Targets that `name` holds when `entries` are the holders. */
 function heldBy (name: string, ...entries: string[]): string[] {
   const held = partition(AGENTS.map(agent => ({ name: agent, service: 'checks', dataCentre: 'one' })), entries.map(entry => ({ name: entry, dataCentre: 'one', strength: 0 })))
   return AGENTS.filter(agent => held.get(agent) === name)
@@ -47,12 +47,12 @@
   made.do({ type: 'configured', configuration: { version: 1, queues: [QUEUE], limits: { header: 0, body: 0, headerTimeout: 0, idleTimeout: 0 } } })
   for (const agent of AGENTS) made.link(agent)
   for (const peer of peers) made.peer(peer)
-  made.live(SETTLING_MILLISECONDS + 300, peers)
+  made.passWithReports(SETTLING_MILLISECONDS + 300, peers)
   made.take()
   return made
 }
 
-/** Agents at which starts were sent. */
+/** Agents to which starts were sent. */
 function startedAt (made: EntryBench): string[] {
   return made.starts().map(start => start.split(' ')[0] as string)
 }
@@ -70,7 +70,7 @@
   expect(made.told('other')).toEqual([])
 })
 
-test('what finds no room in the own partition is asked of the holder that has told of some', () => {
+test('what does not fit in the own partition is requested from a holder that has reported free capacity', () => {
   const made = bench('other')
   fill(made)
   made.submit('job')
@@ -79,7 +79,7 @@
   expect(startedAt(made)).toEqual([heldBy('other', 'self', 'other')[0] as string])
 })
 
-test('an entry gives others room in its partition and nowhere else', () => {
+test('an entry grants others capacity in its own partition only', () => {
   const made = bench('other')
   const { needs, label, rack, perTarget } = step(1)
   const tasks = Array.from({ length: 4 * AGENTS.length }, (_none, index) => ({ name: `job.0.${index}`, avoid: '' }))
@@ -99,67 +99,67 @@
   expect(new Set(startedAt(made))).toEqual(new Set(AGENTS))
 })
 
-// A holder is frozen or its machine has lost power: its links stand, and nothing comes back.
-test('a job whose request is not answered starts where the entry itself sees room', () => {
+// Guards against waiting for a holder that is frozen or has lost power: its links stay open, but nothing arrives from it.
+test('a job whose request times out starts at a target that the entry chooses itself', () => {
   const made = bench('other')
   fill(made)
   made.submit('job')
   const asked = made.now
   while (made.starts().length === 0) made.pass(TICK, AGENTS)
-  expect(made.now - asked <= UNANSWERED_MILLISECONDS + TICK).toEqual(true)
+  expect(made.now - asked <= REQUEST_TIMEOUT_MILLISECONDS + TICK).toEqual(true)
 })
 
-// Messages of a holder arrive here, and none reaches it.
-test('an entry that does not answer is not waited for by the next jobs', () => {
+// Guards against a one-way failure: messages of a holder arrive, but none reaches it.
+test('later jobs do not wait for an entry that does not answer', () => {
   const made = bench('other')
   fill(made)
   made.submit('first')
-  made.live(UNANSWERED_MILLISECONDS + TICK)
-  made.hear('other', ROOM)
+  made.passWithReports(REQUEST_TIMEOUT_MILLISECONDS + TICK)
+  made.hear('other', FREE_CAPACITY)
   made.take()
   made.submit('second')
   expect(made.messages('other', 'ask')).toEqual([])
 })
 
-// The one holder does not answer for a moment, and this entry, whose processor is far weaker, holds nothing itself.
-test('a job that came while the only holder did not answer is asked for once it may answer again', () => {
+// The only holder does not answer for a moment, and this entry, whose processor is far slower, holds no targets itself.
+test('a job submitted while the only holder does not answer is requested from it once its pause has ended', () => {
   const made = new EntryBench({ strength: -4, policy: { partitions: true } }).serving(...AGENTS)
-  const live = (milliseconds: number): void => {
+  const passWithMembers = (milliseconds: number): void => {
     for (let passed = 0; passed < milliseconds; passed += 200) {
       made.hear('other', { type: 'member', dataCentre: 'one', able: true, strength: 0 })
       made.pass(200, AGENTS)
     }
   }
   made.peer('other')
-  live(SETTLING_MILLISECONDS + 300)
+  passWithMembers(SETTLING_MILLISECONDS + 300)
   made.submit('first')
-  live(200)
+  passWithMembers(200)
   made.take()
   made.submit('second')
-  live(UNANSWERING_MILLISECONDS)
+  passWithMembers(UNRESPONSIVE_PAUSE_MILLISECONDS)
   expect(made.told('other').filter(({ type }) => type === 'ask').map(message => message.type === 'ask' && message.job)).toEqual(['second'])
 })
 
-// A holder that is frozen keeps its links; its targets must not stand idle until it is back.
-test('the partition of a silent holder is taken, and given back when it is heard again', () => {
+// A frozen holder keeps its links; its targets must not stay idle until it recovers.
+test('the partition of an unresponsive holder is taken over, and handed back when a message of the holder arrives', () => {
   const made = bench('other')
-  made.pass(HOLDER_SILENCE_MILLISECONDS + TICK, AGENTS)
+  made.pass(HOLDER_TIMEOUT_MILLISECONDS + TICK, AGENTS)
   expect(made.notes('partition taken')).toEqual(1)
-  made.hear('other', ROOM)
+  made.hear('other', FREE_CAPACITY)
   made.pass(TICK, AGENTS)
   expect(made.notes('partition handed over')).toEqual(1)
 })
 
-// This entry itself was frozen: everyone seems silent, and their messages wait behind the first tick.
-test('an entry that stood still does not take others for silent', () => {
+// After a stall of this entry all others seem unresponsive, because their messages are queued behind the first tick.
+test('an entry that was stalled does not treat others as unresponsive', () => {
   const made = bench('other')
   made.now += 3000
   made.do({ type: 'tick' })
-  expect(made.notes('holder silent')).toEqual(0)
+  expect(made.notes('holder unresponsive')).toEqual(0)
 })
 
-// The event loop of the holder is late: whoever asks it would wait.
-test('an entry that lags hands its partition over and tells so, until it has been quick for a while', () => {
+// Requests to a holder with a late event loop would wait.
+test('an entry that lags hands its partition over and reports it, until its lag has been low for a while', () => {
   const made = bench('other')
   made.submit('filler')
   made.pass(TICK, AGENTS)
@@ -169,12 +169,12 @@
   expect(made.messages('other', 'member').map(({ able }) => able)).toEqual([false])
   expect(made.entry.scheduling(made.now).room.groups.map(({ entry }) => entry)).toEqual(['other'])
   expect(made.notes('partition handed over')).toEqual(1)
-  made.live(QUICK_FOR_MILLISECONDS + 400, ['other'])
+  made.passWithReports(LOW_LAG_DURATION_MILLISECONDS + 400, ['other'])
   expect(made.entry.scheduling(made.now).room.groups.map(({ entry }) => entry).sort()).toEqual(['other', 'self'])
 })
 
-// An entry is rolled: what waits there must be asked for elsewhere, not when its process ends.
-test('an entry that stops hands over at once and declines what waits there', () => {
+// During a rolling restart, requests that wait at a stopping entry must move elsewhere before its process ends.
+test('an entry that stops hands its partition over at once and declines the requests that wait there', () => {
   const made = bench('other')
   fill(made)
   const { needs, label, rack, perTarget } = step(1)
@@ -185,10 +185,10 @@
   expect(made.messages('other', 'declined').map(({ job }) => job)).toEqual(['job'])
 })
 
-// Entries come and go for months: what each has told must not stay.
-test('the room of an entry that is gone is forgotten', () => {
+// Entries are replaced for months: the reports of each must not accumulate.
+test('the free capacity of an entry that is gone is dropped', () => {
   const made = bench('other')
-  made.live(200, ['other'])
+  made.passWithReports(200, ['other'])
   made.do({ type: 'peerUnlinked', peer: 'other' })
   made.peer('other')
   made.pass(TICK, AGENTS)
@@ -205,11 +205,11 @@
   expect(made.entry.scheduling(made.now).room.groups.map(({ entry }) => entry).sort()).toEqual(['new', 'self'])
 })
 
-// A request waits at another holder when a place becomes free here: its grant is under way while the task starts.
-test('a grant for a task that has found a place meanwhile is given back', () => {
+// While a request waits at another holder, a target of this entry becomes free: a grant is in transit when the task starts.
+test('a grant for a task that has been placed meanwhile is released', () => {
   const made = bench('other')
   fill(made)
-  made.hear('other', { ...ROOM, free: 0 })
+  made.hear('other', { ...FREE_CAPACITY, free: 0 })
   made.submit('job')
   expect(made.messages('other', 'ask').map(({ waits }) => waits)).toEqual([true])
   const [agent = ''] = heldBy('self', 'self', 'other')
@@ -221,8 +221,8 @@
   expect(made.messages('other', 'release').length).toEqual(1)
 })
 
-// What an entry knew of a target on a quiet link is seconds old.
-test('a target that comes with a partition gets nothing before it has told its load', () => {
+// The load of a target on a quiet link is seconds old.
+test('a target of a partition that was taken over gets no tasks before it has reported its load', () => {
   const made = bench('other')
   made.do({ type: 'peerUnlinked', peer: 'other' })
   made.take()
--- a/packages/dispatch/test/slackplacement.test.ts
+++ b/packages/dispatch/test/slackplacement.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { SeededRandom } from '@amaranthmast/standins/random'
-import { FarCost } from '../src/farcost.ts'
+import { RemoteCost } from '../src/farcost.ts'
 import { AgentView } from '../src/fleetview.ts'
 import { Isolation } from '../src/messages.ts'
 import { choose } from '../src/placement.ts'
@@ -35,7 +35,7 @@
     entries: 1,
     policy: { ...DEFAULT_POLICY, placesBySlack: true },
     farPenalty: 60,
-    farWay: 2,
+    remoteDelay: 2,
     ...extra
   }
 }
@@ -43,11 +43,11 @@
 const slow = target('slow', 0.55)
 const fast = target('fast', FASTEST)
 
-test('a task that is in time on a slow target leaves the fast one to others', () => {
+test('a task that is in time on a slow target with a margin does not take the fast one', () => {
   expect(chooseBySlack(request({ left: 900 }), [fast, slow], FASTEST)?.name).toEqual('slow')
 })
 
-test('a task that is in time on a slow target only as expected takes the fast one', () => {
+test('a task that is in time on a slow target without a margin takes the fast one', () => {
   expect(chooseBySlack(request({ left: 600 }), [slow, fast], FASTEST)?.name).toEqual('fast')
 })
 
@@ -55,16 +55,16 @@
   expect(chooseBySlack(request({ left: 480 }), [slow], FASTEST)).toEqual(undefined)
 })
 
-test('a task that can be in time nowhere does not take the best', () => {
+test('a task that cannot be in time anywhere does not take the fastest target', () => {
   expect(chooseBySlack(request({ left: 200 }), [fast, slow], FASTEST)?.name).toEqual('slow')
 })
 
-// A target at a tenth of its speed would hold a task until nobody waits for it.
-test('a task that is late anyway is not given where it would be of no use', () => {
+// A target at a tenth of its speed would finish a task only after its caller has stopped waiting.
+test('a task that is late anyway is not placed where its result would have no value', () => {
   expect(chooseBySlack(request({ left: 200 }), [target('broken', 0.1), fast], FASTEST)?.name).toEqual('fast')
 })
 
-test('on an even fleet the choice is that of the soonest end', () => {
+test('on a fleet of equally fast targets the choice is that of the soonest end', () => {
   const random = new SeededRandom(1)
   for (let round = 0; round < 500; round += 1) {
     const agents = Array.from({ length: 12 }, (_none, index) =>
@@ -75,22 +75,23 @@
   }
 })
 
-// Bytes between data centres cost, and the 60 ms that stood for a way of 1 made callers late where theirs was full.
-test('a far target costs the whole penalty while there is room nearby, and its measured way when there is none', () => {
+// Traffic between data centres costs money, but a fixed penalty of 60 ms for a delay of 1 ms makes callers late whose own
+// data centre is full.
+test('a remote target costs the whole penalty while there is local capacity, and its measured delay when there is none', () => {
   const near = target('near')
-  const cost = new FarCost({ penalty: 60, agents: () => [near, target('far', 1, { dataCentre: 'two' })] })
+  const cost = new RemoteCost({ penalty: 60, agents: () => [near, target('far', 1, { dataCentre: 'two' })] })
   for (let ends = 0; ends < 500; ends += 1) {
     cost.noteRun(true, 4)
     cost.noteRun(false, 7)
   }
   expect(cost.of('one')).toEqual(60)
   near.noteLoad({ others: { cpu: 8000, memory: 0, accelerators: 0 }, pace: 0 })
-  cost.begin()
+  cost.clearLoads()
   expect(cost.of('one')).toEqual(3)
 })
 
-test('a way that is longer than the penalty counts as it was measured', () => {
-  const cost = new FarCost({ penalty: 60, agents: () => [target('near')] })
+test('a measured delay above the penalty is used as it is', () => {
+  const cost = new RemoteCost({ penalty: 60, agents: () => [target('near')] })
   cost.noteRun(true, 5)
   cost.noteRun(false, 105)
   expect(cost.of('one')).toEqual(100)
--- a/packages/emulator/src/peerlinks.ts
+++ b/packages/emulator/src/peerlinks.ts
@@ -1,5 +1,5 @@
 /** Links between the emulated entries: ordered, delayed, and broken by the end of a process. */
-import type { PeerMessage } from '@amaranthmast/dispatch/roommessages'
+import type { PeerMessage } from '@amaranthmast/dispatch/peermessages'
 import type { EntryProcess } from './linkends.ts'
 import type { Timeline } from './timeline.ts'
 
--- a/packages/emulator/test/partitions.test.ts
+++ b/packages/emulator/test/partitions.test.ts
@@ -2,13 +2,13 @@
 import { readFileSync } from 'node:fs'
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { TICK_INTERVAL_MILLISECONDS, UNANSWERED_MILLISECONDS } from '@amaranthmast/dispatch/partitiondefaults'
+import { TICK_INTERVAL_MILLISECONDS, REQUEST_TIMEOUT_MILLISECONDS } from '@amaranthmast/dispatch/partitiondefaults'
 import { playDay } from '../src/day.ts'
 import { readExperiment } from '../src/experiment.ts'
 import { TroubleKind } from '../src/troubletypes.ts'
 
 /** Longest wait for room beside a failure: 100 ms, and what finding out takes that an entry does not answer. */
-const MOST_WAIT = 100 + UNANSWERED_MILLISECONDS + TICK_INTERVAL_MILLISECONDS
+const MOST_WAIT = 100 + REQUEST_TIMEOUT_MILLISECONDS + TICK_INTERVAL_MILLISECONDS
 
 /** When a trouble begins, and where it lies in the middle, in milliseconds from the start of the load. */
 const TROUBLE_AT = 1500
