--- a/packages/bench/src/convergencemodel.ts
+++ b/packages/bench/src/convergencemodel.ts
@@ -6,7 +6,7 @@
  * Left out: processor time, and traffic other than documents and heartbeats. Task traffic states
  * versions more often than heartbeats do, so a fleet under load learns sooner who is behind.
  */
-import type { AdoptionOptions, PeerChoice, VersionedDocument } from '@amaranthmast/coordination/adoption'
+import type { AdoptionOptions, PeerSelection, VersionedDocument } from '@amaranthmast/coordination/adoption'
 import { ConfigurationAdoption, Responsibility } from '@amaranthmast/coordination/adoption'
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import type { Member } from '@amaranthmast/coordination/messages'
@@ -42,7 +42,7 @@
   entries: number
   agents: number
   disturbance: Disturbance
-  choice: PeerChoice
+  choice: PeerSelection
   /** Peers drawn in one round of random choice. @default 1 */
   roundPeers?: number
   /** Whether an entry sends to the other entries at once, after the grace or after the patience. @default Responsibility.Watcher */
@@ -195,7 +195,7 @@
     for (const [from, to] of [[one, other], [other, one]] as const) {
       from.adoption.connected(to.name, undefined, this.#responsibility(from, to.name), this.#loop.now)
       const version = from.version
-      this.#loop.after(this.#leg(), () => to.adoption.stated(from.name, version))
+      this.#loop.after(this.#leg(), () => to.adoption.noteVersion(from.name, version))
     }
     this.#sendDue(one)
     this.#sendDue(other)
@@ -237,7 +237,7 @@
     if ('up' in from ? !from.up : from.startedAt > this.#loop.now) return
     const version = from.version
     this.#loop.at(this.#arrival(this.#loop.now, from), () => {
-      for (const entry of this.#entries) if (entry !== from && entry.up) entry.adoption.stated(from.name, version)
+      for (const entry of this.#entries) if (entry !== from && entry.up) entry.adoption.noteVersion(from.name, version)
     })
   }
 
--- a/packages/bench/src/convergencesection.ts
+++ b/packages/bench/src/convergencesection.ts
@@ -1,5 +1,5 @@
 /** Time, documents and useless documents of one change, by choice of the peers and by disturbance. */
-import { PeerChoice, Responsibility } from '@amaranthmast/coordination/adoption'
+import { PeerSelection, Responsibility } from '@amaranthmast/coordination/adoption'
 import type { ConvergenceOptions } from './convergencemodel.ts'
 import { Disturbance, runConvergence } from './convergencemodel.ts'
 import { quantile, rounded } from './measures.ts'
@@ -35,12 +35,12 @@
 ]
 
 const CHOICES: readonly Choice[] = [
-  { name: 'known behind', options: { choice: PeerChoice.KnownBehind } },
-  { name: 'known behind, entries at once', options: { choice: PeerChoice.KnownBehind, entryPeers: Responsibility.Own } },
-  { name: 'known behind, entries wait', options: { choice: PeerChoice.KnownBehind, entryPeers: Responsibility.Other } },
-  { name: 'random 1', options: { choice: PeerChoice.Random, roundPeers: 1 } },
-  { name: 'random 10', options: { choice: PeerChoice.Random, roundPeers: 10 } },
-  { name: 'random 100', options: { choice: PeerChoice.Random, roundPeers: 100 } }
+  { name: 'known behind', options: { choice: PeerSelection.KnownBehind } },
+  { name: 'known behind, entries at once', options: { choice: PeerSelection.KnownBehind, entryPeers: Responsibility.Own } },
+  { name: 'known behind, entries wait', options: { choice: PeerSelection.KnownBehind, entryPeers: Responsibility.Other } },
+  { name: 'random 1', options: { choice: PeerSelection.Random, roundPeers: 1 } },
+  { name: 'random 10', options: { choice: PeerSelection.Random, roundPeers: 10 } },
+  { name: 'random 100', options: { choice: PeerSelection.Random, roundPeers: 100 } }
 ]
 
 /** One row per fleet, disturbance and choice. */
@@ -51,7 +51,7 @@
 
 function measureChoice (fleet: FleetSize, disturbance: Disturbance, choice: Choice, seed: number): Row {
   const { entries, agents, documentBytes } = fleet
-  const runs = choice.options.choice === PeerChoice.Random ? fleet.randomRuns : fleet.runs
+  const runs = choice.options.choice === PeerSelection.Random ? fleet.randomRuns : fleet.runs
   const results = Array.from({ length: runs }, (_, run) =>
     runConvergence({ entries, agents, documentBytes, disturbance, seed: seed * 1_000 + run, ...choice.options }))
   const wholes = results.map(({ inForce, unfinished }) => unfinished > 0 ? Number.POSITIVE_INFINITY : Math.max(...inForce))
--- a/packages/bench/test/convergence.test.ts
+++ b/packages/bench/test/convergence.test.ts
@@ -1,7 +1,7 @@
 /** The model of a change tells a good adoption from broken ones. */
 import { test } from 'node:test'
 import type { VersionedDocument } from '@amaranthmast/coordination/adoption'
-import { ConfigurationAdoption, PeerChoice } from '@amaranthmast/coordination/adoption'
+import { ConfigurationAdoption, PeerSelection } from '@amaranthmast/coordination/adoption'
 import { expect } from 'earl'
 import type { ConvergenceOptions, ConvergenceResult } from '../src/convergencemodel.ts'
 import { applyBeforeOutage, resetLinks, runCores } from '../src/convergencecores.ts'
@@ -39,7 +39,7 @@
 
 function run (disturbance: Disturbance, makeAdoption?: ConvergenceOptions['makeAdoption']): ConvergenceResult {
   const broken = makeAdoption === undefined ? {} : { makeAdoption }
-  return runConvergence({ entries: 3, agents: 11, disturbance, choice: PeerChoice.KnownBehind, documentBytes: 500, seed: 1, ...broken })
+  return runConvergence({ entries: 3, agents: 11, disturbance, choice: PeerSelection.KnownBehind, documentBytes: 500, seed: 1, ...broken })
 }
 
 for (const disturbance of Object.values(Disturbance)) {
--- a/packages/coordination/src/adoption.ts
+++ b/packages/coordination/src/adoption.ts
@@ -1,51 +1,51 @@
 /**
- * Which version of the configuration is in force on one instance, and which peers are sent it.
+ * Which version of the configuration is in force on one instance, and which peers it is sent to.
  *
- * Versions only rise. Peers state the version they have in force in messages that are sent anyway,
- * so the document goes only to a peer that is known to be behind, once per version and link.
+ * Versions only rise. Peers report the version they have in force in messages that are sent anyway, so the document goes
+ * only to a peer that is known to be behind, once per version and link.
  */
 import type { Instance } from './messages.ts'
 
-/** How the peers that are sent the document are chosen. */
-export enum PeerChoice {
+/** How the peers that receive the document are selected. */
+export enum PeerSelection {
   /** Only peers that are known to be behind, each once. */
   KnownBehind = 'knownBehind',
-  /** Any peers, drawn at random in rounds while some peer is behind: the baseline to measure against. */
+  /** Random peers, in rounds, while some peer is behind. Serves as the baseline for measurements. */
   Random = 'random'
 }
 
 /**
- * Time until a peer for which another instance is responsible is sent the document, in milliseconds.
- * It counts from the adoption, or from the link's beginning when that is later.
+ * Delay after which the document is sent to a peer that another instance is responsible for, in milliseconds. It counts
+ * from the adoption of the version or from the start of the link, whichever is later.
  */
-export const PATIENCE_MILLISECONDS = 500
+export const FALLBACK_DELAY_MILLISECONDS = 500
 
 /**
- * Time until a peer that watches the store itself is sent the document, in milliseconds, counted as
- * the patience is. Watches differ by a few milliseconds, and whoever adopts states it at once, so
- * that only a peer whose watch failed is still behind then.
+ * Delay after which the document is sent to a peer that watches the store itself, in milliseconds, counted like
+ * `FALLBACK_DELAY_MILLISECONDS`. Watches differ by a few milliseconds, and an instance reports a version as soon as it
+ * adopts it, so after this delay only a peer whose watch failed is still behind.
  */
-export const GRACE_MILLISECONDS = 50
+export const WATCHER_GRACE_MILLISECONDS = 50
 
-/** Time between two rounds of random choice, in milliseconds. */
-export const ROUND_MILLISECONDS = 100
+/** Interval between two rounds of random selection, in milliseconds. */
+export const ROUND_INTERVAL_MILLISECONDS = 100
 
-/** Peers drawn in one round of random choice. */
-export const ROUND_PEERS = 1
+/** Peers selected in one round of random selection. */
+export const PEERS_PER_ROUND = 1
 
 /** Options of `ConfigurationAdoption`. */
 export interface AdoptionOptions {
-  /** @default PeerChoice.KnownBehind */
-  choice?: PeerChoice
-  /** Random numbers of at least 0 and below 1; used by `PeerChoice.Random` alone. */
+  /** @default PeerSelection.KnownBehind */
+  choice?: PeerSelection
+  /** Returns random numbers of at least 0 and below 1; used by `PeerSelection.Random` only. */
   random: () => number
-  /** @default PATIENCE_MILLISECONDS */
+  /** @default FALLBACK_DELAY_MILLISECONDS */
   patienceMilliseconds?: number
-  /** @default GRACE_MILLISECONDS */
+  /** @default WATCHER_GRACE_MILLISECONDS */
   graceMilliseconds?: number
-  /** @default ROUND_MILLISECONDS */
+  /** @default ROUND_INTERVAL_MILLISECONDS */
   roundMilliseconds?: number
-  /** @default ROUND_PEERS */
+  /** @default PEERS_PER_ROUND */
   roundPeers?: number
 }
 
@@ -55,86 +55,85 @@
   document: Uint8Array
 }
 
-/** Whether this instance or another one sends a peer new documents. */
+/** Which instance sends new documents to a peer. */
 export enum Responsibility {
   /** This instance sends at once. */
   Own = 'own',
-  /** The peer watches the store: this instance sends when it is still behind after the grace. */
+  /** The peer watches the store; this instance sends only if the peer is still behind after the grace time. */
   Watcher = 'watcher',
-  /** Another instance does: this one sends only to a peer that is still behind after the patience. */
+  /** Another instance is responsible; this one sends only if the peer is still behind after the fallback delay. */
   Other = 'other'
 }
 
 interface Link {
   responsibility: Responsibility
-  /** When the link began. */
-  since: number
-  /** Highest version that the peer has stated; undefined until it has stated any. */
+  /** When the link was established. */
+  connectedAt: number
+  /** Highest version that the peer has reported; undefined until it reports one. */
   version: number | undefined
   /** Highest version sent over this link. */
   sent: number
 }
 
-/** The version in force on one instance, and what it knows of its peers'. */
+/** The version in force on one instance, and the versions that its peers have reported. */
 export class ConfigurationAdoption {
-  readonly #choice: PeerChoice
+  readonly #choice: PeerSelection
   readonly #random: () => number
-  /** Time until a peer is sent the document, by who is responsible for it. */
+  /** Delay before a document is sent to a peer, by who is responsible for the peer. */
   readonly #waits: Readonly<Record<Responsibility, number>>
   readonly #roundMilliseconds: number
   readonly #roundPeers: number
   readonly #links = new Map<Instance, Link>()
-  /** Peers that may have to be sent the document in force. Empty once all peers have it. */
+  /** Peers that are known to be behind the document in force. */
   readonly #candidates = new Set<Instance>()
   #inForce: VersionedDocument = { version: 0, document: new Uint8Array() }
   #adoptedAt = 0
   #nextRound = 0
 
   constructor (options: AdoptionOptions) {
-    this.#choice = options.choice ?? PeerChoice.KnownBehind
+    this.#choice = options.choice ?? PeerSelection.KnownBehind
     this.#random = options.random
     this.#waits = {
       [Responsibility.Own]: 0,
-      [Responsibility.Watcher]: options.graceMilliseconds ?? GRACE_MILLISECONDS,
-      [Responsibility.Other]: options.patienceMilliseconds ?? PATIENCE_MILLISECONDS
+      [Responsibility.Watcher]: options.graceMilliseconds ?? WATCHER_GRACE_MILLISECONDS,
+      [Responsibility.Other]: options.patienceMilliseconds ?? FALLBACK_DELAY_MILLISECONDS
     }
-    this.#roundMilliseconds = options.roundMilliseconds ?? ROUND_MILLISECONDS
-    this.#roundPeers = options.roundPeers ?? ROUND_PEERS
+    this.#roundMilliseconds = options.roundMilliseconds ?? ROUND_INTERVAL_MILLISECONDS
+    this.#roundPeers = options.roundPeers ?? PEERS_PER_ROUND
   }
 
-  /** What is in force; version 0 with an empty document before the first. */
+  /** The document in force; version 0 with an empty document before the first. */
   get inForce (): VersionedDocument {
     return this.#inForce
   }
 
   /**
-   * A document came from the store or from a peer. Returns whether it is now in force.
+   * Handles a document from the store or from a peer; returns whether it is now in force.
    *
-   * The store may answer a read with an older value, and a peer may be behind: shares and drains
-   * would jump back for as long as that answer stands. Only a higher version is taken, so the order
-   * in which answers arrive does not matter.
+   * The store may answer a read with an older value, and a peer may be behind. Only a higher version is adopted, so the
+   * order in which answers arrive does not matter. Otherwise shares and drains would revert until the next answer.
    */
   offer (offered: VersionedDocument, now: number): boolean {
     if (offered.version <= this.#inForce.version) return false
     this.#inForce = offered
     this.#adoptedAt = now
     this.#nextRound = now
-    for (const peer of this.#links.keys()) this.#consider(peer)
+    for (const peer of this.#links.keys()) this.#updateCandidate(peer)
     return true
   }
 
   /**
-   * A new link to a peer is up. An entry states its version a moment after the link: until then it
-   * is sent nothing, or each link between entries would begin with a document that both ends have.
+   * A new link to a peer is established. An entry reports its version shortly after the link is up and is sent nothing
+   * until then. Otherwise each link between entries would begin with a document that both ends already have.
    *
-   * @param version what the peer has stated with the link; undefined when it is still to state it
+   * @param version the version that the peer reported with the link; undefined when its report is still to come
    */
   connected (peer: Instance, version: number | undefined, responsibility: Responsibility, now: number): void {
-    this.#links.set(peer, { responsibility, since: now, version, sent: 0 })
-    this.#consider(peer)
+    this.#links.set(peer, { responsibility, connectedAt: now, version, sent: 0 })
+    this.#updateCandidate(peer)
   }
 
-  /** The link is gone. What was sent over it may be lost, so a new link begins afresh. */
+  /** The link is closed. Documents sent over it may be lost, so a new link starts without a sent version. */
   disconnected (peer: Instance): void {
     this.#links.delete(peer)
     this.#candidates.delete(peer)
@@ -147,28 +146,28 @@
     link.responsibility = responsibility
   }
 
-  /** A message of a peer stated the version that the peer has in force. Unknown peers are ignored. */
-  stated (peer: Instance, version: number): void {
+  /** A peer reported the version that it has in force. Unknown peers are ignored. */
+  noteVersion (peer: Instance, version: number): void {
     const link = this.#links.get(peer)
     if (link === undefined) return
     link.version = Math.max(link.version ?? 0, version)
-    this.#consider(peer)
+    this.#updateCandidate(peer)
   }
 
-  /** Linked peers that have stated an older version than the one in force, and no other since. */
+  /** Linked peers whose last reported version is older than the one in force. */
   behind (): Instance[] {
     return [...this.#candidates]
   }
 
-  /** Peers that are to be sent the document in force now. Each counts as sent from then on. */
+  /** Peers that the document in force is to be sent to now. Each is marked as sent. */
   due (now: number): Instance[] {
     if (this.#candidates.size === 0) return []
-    const peers = this.#choice === PeerChoice.Random ? this.#drawRound(now) : this.#knownBehind(now)
+    const peers = this.#choice === PeerSelection.Random ? this.#drawRandomPeers(now) : this.#knownBehind(now)
     for (const peer of peers) this.#markSent(peer)
     return peers
   }
 
-  #consider (peer: Instance): void {
+  #updateCandidate (peer: Instance): void {
     const link = this.#links.get(peer)
     if (link === undefined) return
     if (link.version !== undefined && link.version < this.#inForce.version) this.#candidates.add(peer)
@@ -179,11 +178,11 @@
     return [...this.#candidates].filter((peer) => {
       const link = this.#links.get(peer)
       if (link === undefined || link.sent >= this.#inForce.version) return false
-      return now - Math.max(this.#adoptedAt, link.since) >= this.#waits[link.responsibility]
+      return now - Math.max(this.#adoptedAt, link.connectedAt) >= this.#waits[link.responsibility]
     })
   }
 
-  #drawRound (now: number): Instance[] {
+  #drawRandomPeers (now: number): Instance[] {
     if (now < this.#nextRound) return []
     this.#nextRound = now + this.#roundMilliseconds
     const peers = [...this.#links.keys()]
--- a/packages/coordination/src/agent.ts
+++ b/packages/coordination/src/agent.ts
@@ -1,6 +1,6 @@
 /**
- * Decision logic of an agent: which dispatches it obeys, when a task starts, and who is told the
- * outcome. A task starts here and nowhere else.
+ * Decision logic of an agent: which dispatches it accepts, when a task starts, and which entry receives the outcome.
+ * Tasks are started by agents only.
  */
 import type { AgentGuards } from './agentguards.ts'
 import type { AgentEffect, AgentEvent } from './agenttypes.ts'
@@ -12,9 +12,9 @@
 import { AgentStop } from './agentstop.ts'
 import { AgentTasks } from './agenttasks.ts'
 import { AgentState } from './agenttypes.ts'
-import { Confirmation } from './confirmation.ts'
+import { ViewConfirmation } from './viewconfirmation.ts'
 import { DEFAULT_MEMORY_LIMITS, DEFAULT_TIMINGS } from './defaults.ts'
-import { Ledger, Verdict } from './ledger.ts'
+import { Ledger, DispatchStatus } from './ledger.ts'
 import { handleMessage } from './messagehandlers.ts'
 import { LedgerState } from './messages.ts'
 import { ownerOf } from './rendezvous.ts'
@@ -25,9 +25,9 @@
   target: TargetDescription
   slots: Slots
   timings?: Timings
-  /** Bytes of results held for entries that may ask again. @default DEFAULT_MEMORY_LIMITS.ledgerBytes */
+  /** Maximum bytes of results held for entries that may ask again. @default DEFAULT_MEMORY_LIMITS.ledgerBytes */
   ledgerBytes?: number
-  /** Guards switched off, to show that a proof fails without them. @internal */
+  /** Guards to switch off, to show that a proof fails without them. @internal */
   guards?: AgentGuards
 }
 
@@ -51,7 +51,7 @@
   readonly #timings: Timings
   readonly #guards: AgentGuards
   readonly #ledger: Ledger
-  readonly #confirmation: Confirmation
+  readonly #confirmation: ViewConfirmation
   readonly #connected = new Set<Instance>()
   readonly #tasks: AgentTasks
   readonly #stop = new AgentStop()
@@ -92,7 +92,7 @@
     this.#timings = options.timings ?? DEFAULT_TIMINGS
     this.#guards = options.guards ?? ALL_AGENT_GUARDS
     this.#ledger = new Ledger(this.#timings.retention, options.ledgerBytes ?? DEFAULT_MEMORY_LIMITS.ledgerBytes)
-    this.#confirmation = new Confirmation(this.#timings.contact)
+    this.#confirmation = new ViewConfirmation(this.#timings.contact)
     this.#tasks = new AgentTasks({
       slots: this.#slots,
       ledger: this.#ledger,
@@ -103,7 +103,7 @@
     })
   }
 
-  /** Takes one event in and returns what is to be done for it, in order. */
+  /** Handles one event; returns the resulting effects in order. */
   handle (event: AgentEvent, now: number): AgentEffect[] {
     this.#effects = []
     if (this.#stopped) return this.#effects
@@ -162,30 +162,30 @@
 
   #dispatched (entry: Instance, dispatch: Dispatch, now: number): void {
     if (this.#guards.incarnation && dispatch.agent !== this.#instance) return
-    const verdict = this.#guards.ledger ? this.#ledger.examine(dispatch) : Verdict.New
-    if (verdict !== Verdict.New && isMember(this.#view, entry)) this.#ledger.claim(dispatch, entry)
-    if (verdict === Verdict.Known) return
-    if (verdict === Verdict.Settled) {
-      this.#resend(entry, dispatch)
+    const status = this.#guards.ledger ? this.#ledger.statusOf(dispatch) : DispatchStatus.New
+    if (status !== DispatchStatus.New && isMember(this.#view, entry)) this.#ledger.claim(dispatch, entry)
+    if (status === DispatchStatus.Known) return
+    if (status === DispatchStatus.Settled) {
+      this.#resendResult(entry, dispatch)
       return
     }
-    const objection = this.#objection(entry, now)
-    if (objection !== undefined) {
-      this.#note('dispatch refused', { entry, job: dispatch.job, index: dispatch.index, detail: objection, connected: this.#connected.has(entry), member: isMember(this.#view, entry) })
-      this.#tasks.refuse(entry, dispatch, objection, now)
+    const reason = this.#refusalReason(entry, now)
+    if (reason !== undefined) {
+      this.#note('dispatch refused', { entry, job: dispatch.job, index: dispatch.index, detail: reason, connected: this.#connected.has(entry), member: isMember(this.#view, entry) })
+      this.#tasks.refuse(entry, dispatch, reason, now)
       return
     }
-    this.#tasks.place(entry, dispatch, now)
+    this.#tasks.admit(entry, dispatch, now)
   }
 
-  #resend (entry: Instance, dispatch: Dispatch): void {
+  #resendResult (entry: Instance, dispatch: Dispatch): void {
     const result = this.#ledger.resultFor(dispatch.job, dispatch.index)
     if (result === undefined) return
     this.#send(entry, { case: 'result', value: result })
   }
 
-  /** Why nothing from this entry may start now; undefined when nothing stands against it. */
-  #objection (entry: Instance, now: number): string | undefined {
+  /** Why nothing from this entry may start now; undefined when it may. */
+  #refusalReason (entry: Instance, now: number): string | undefined {
     if (this.#guards.fence && !isMember(this.#view, entry)) return 'the entry is not a member of the view'
     if (this.#guards.rooted && !this.#rooted) return 'the agent is not yet known to every entry'
     if (this.#guards.isolation && !this.#mayStart(now)) return 'the agent is cut off from the view'
@@ -194,9 +194,9 @@
   }
 
   /**
-   * The lines go with the epoch that this agent is in. When it has gone further than the asking
-   * entry, the owner that it names is not the one that the entry believes in, and the reply to the
-   * older epoch would say that nothing of these jobs was ever started.
+   * Replies with the ledger records of the epoch that this agent is in. If the agent has a newer view than the asking
+   * entry, the owner computed here differs from the one computed by that entry. A reply marked with the older epoch would
+   * then state that none of these jobs was ever started.
    */
   #recall (entry: Instance, recall: { epoch: string, view: View }, now: number): void {
     this.#adopt(recall.view, now)
@@ -212,8 +212,8 @@
       for (const entry of this.#connected) this.#heartbeat(entry, now)
     }
     this.#refreshState(now)
-    const lost = this.#connected.size === 0 || this.#state === AgentState.Isolated
-    if (!lost || now - this.#lastViewRead < this.#timings.viewRead) return
+    const disconnected = this.#connected.size === 0 || this.#state === AgentState.Isolated
+    if (!disconnected || now - this.#lastViewRead < this.#timings.viewRead) return
     this.#lastViewRead = now
     this.#emit({ type: 'readView' })
   }
@@ -228,8 +228,8 @@
   }
 
   /**
-   * An agent takes work only once every entry of its view has answered it: an entry that survives
-   * another then knows every agent that may have started something for it.
+   * Updates the state. An agent accepts work only once every entry of its view has answered it. If an entry is lost, the
+   * remaining ones then know of every agent that may have started a task for it.
    */
   #refreshState (now: number): void {
     if (!this.#rooted && this.#confirmation.everyMemberReplied(this.#view)) {
@@ -266,27 +266,27 @@
   #stopOrdered (now: number): void {
     if (this.#stop.ordered) return
     this.#stop.order(now)
-    this.#note('stop ordered', { running: this.#tasks.running, queued: this.#tasks.queued, entries: this.#entriesTold() })
+    this.#note('stop ordered', { running: this.#tasks.running, queued: this.#tasks.queued, entries: this.#stopAcknowledgements() })
     this.#lastHeartbeat = Number.NEGATIVE_INFINITY
     this.#refreshState(now)
     this.#reportAll()
   }
 
-  /** A planned stop ends when nothing runs and every live entry has the outcomes and refusals it waits for. */
+  /** Ends a planned stop when nothing runs and every live entry has received the outcomes and refusals it waits for. */
   #stopWhenDone (now: number): void {
     const busy = this.#tasks.running + this.#tasks.queued > 0
-    if (!this.#stop.ordered || busy || !this.#stop.relieved(this.#view, now)) return
+    if (!this.#stop.ordered || busy || !this.#stop.acknowledgedByAll(this.#view, now)) return
     const isWaiting = (holder: Instance): boolean => isMember(this.#view, holder)
     if (!this.#ledger.allAcknowledged(LedgerState.Finished, isWaiting)) return
     if (!this.#stop.overdue(now) && !this.#ledger.allAcknowledged(LedgerState.Refused, isWaiting)) return
     this.#stopped = true
-    this.#note('stopped', { after: Math.round(this.#stop.orderedFor(now)), entries: this.#entriesTold() })
+    this.#note('stopped', { after: Math.round(this.#stop.orderedFor(now)), entries: this.#stopAcknowledgements() })
     this.#emit({ type: 'stopped' })
   }
 
-  /** Every connected entry, whether it is a member here, and whether it knows of the stop. */
-  #entriesTold (): Array<{ entry: Instance, member: boolean, knows: boolean }> {
-    return [...this.#connected].map(entry => ({ entry, member: isMember(this.#view, entry), knows: this.#stop.knownTo(entry) }))
+  /** Every connected entry, whether it is a member of the view, and whether it has acknowledged the stop. */
+  #stopAcknowledgements (): Array<{ entry: Instance, member: boolean, knows: boolean }> {
+    return [...this.#connected].map(entry => ({ entry, member: isMember(this.#view, entry), knows: this.#stop.acknowledgedBy(entry) }))
   }
 
   #note (what: string, fields: Record<string, unknown>): void {
--- a/packages/coordination/src/agentexchange.ts
+++ b/packages/coordination/src/agentexchange.ts
@@ -17,7 +17,7 @@
 /** Stands for a confirmation by the store that never came. */
 const NEVER_CONFIRMED_MILLISECONDS = 1e12
 
-export interface AgentExchangeParts {
+export interface AgentExchangeDependencies {
   context: EntryContext
   agents: AgentLinks
   membership: Membership
@@ -29,7 +29,7 @@
   members: () => readonly Member[]
   hello: () => EntryToAgent
   /** An agent has told what its ledger names. */
-  memoryProgressed: (now: number) => void
+  memoryUpdated: (now: number) => void
 }
 
 export class AgentExchange {
@@ -42,34 +42,34 @@
   readonly #adoption: ConfigurationAdoption
   readonly #members: () => readonly Member[]
   readonly #hello: () => EntryToAgent
-  readonly #memoryProgressed: (now: number) => void
+  readonly #memoryUpdated: (now: number) => void
 
   readonly #handlers: MessageHandlers<AgentToEntry> = {
     announce: (agent, { target, report }, now) => this.#announced(agent, target, report, now),
     report: (agent, report, now) => {
       this.#scheduler.targetReport(agent, report, now)
-      this.#adoption.stated(agent, report.configurationVersion)
+      this.#adoption.noteVersion(agent, report.configurationVersion)
     },
     result: (agent, result, now) => this.#jobs.result(agent, result, now),
     recalled: (agent, { epoch, lines }, now) => {
       for (const line of lines) this.#jobs.adoptLine(agent, line, now)
       this.#takeover.recalled(agent, epoch)
-      this.#memoryProgressed(now)
+      this.#memoryUpdated(now)
     },
     heartbeat: (agent, heartbeat, now) => this.#heartbeat(agent, heartbeat, now)
   }
 
-  constructor (parts: AgentExchangeParts) {
-    this.#context = parts.context
-    this.#agents = parts.agents
-    this.#membership = parts.membership
-    this.#takeover = parts.takeover
-    this.#scheduler = parts.scheduler
-    this.#jobs = parts.jobs
-    this.#adoption = parts.adoption
-    this.#members = parts.members
-    this.#hello = parts.hello
-    this.#memoryProgressed = parts.memoryProgressed
+  constructor (dependencies: AgentExchangeDependencies) {
+    this.#context = dependencies.context
+    this.#agents = dependencies.agents
+    this.#membership = dependencies.membership
+    this.#takeover = dependencies.takeover
+    this.#scheduler = dependencies.scheduler
+    this.#jobs = dependencies.jobs
+    this.#adoption = dependencies.adoption
+    this.#members = dependencies.members
+    this.#hello = dependencies.hello
+    this.#memoryUpdated = dependencies.memoryUpdated
   }
 
   message (agent: Instance, message: AgentToEntry, now: number): void {
@@ -105,16 +105,16 @@
     this.#context.sendAgent(agent, this.#hello())
     this.#scheduler.targetUp(agent, target, report, now)
     this.#adoption.connected(agent, report.configurationVersion, this.#responsibilityFor(agent), now)
-    this.#takeover.learned(agent, undefined, now)
+    this.#takeover.addAgent(agent, undefined, now)
     this.#recall(agent)
     this.#jobs.agentReconnected(agent, now)
   }
 
   #heartbeat (agent: Instance, heartbeat: { sent: number, viewVersion: number, configurationVersion: number }, now: number): void {
     const { view } = this.#membership
-    this.#membership.heardOf(heartbeat.viewVersion)
+    this.#membership.noteViewVersion(heartbeat.viewVersion)
     if (heartbeat.viewVersion < view.version) this.#context.sendAgent(agent, { case: 'view', value: { view } })
-    this.#adoption.stated(agent, heartbeat.configurationVersion)
+    this.#adoption.noteVersion(agent, heartbeat.configurationVersion)
     if (!this.#membership.joined) return
     const confirmedAgeMilliseconds = Math.min(this.#membership.confirmedAge(now), NEVER_CONFIRMED_MILLISECONDS)
     const value = { sent: heartbeat.sent, viewVersion: view.version, confirmedAgeMilliseconds }
--- a/packages/coordination/src/agentlinks.ts
+++ b/packages/coordination/src/agentlinks.ts
@@ -59,7 +59,7 @@
   }
 
   /** Another entry knows this run; true when it was not known here. */
-  learn (agent: Instance, now: number): boolean {
+  addReported (agent: Instance, now: number): boolean {
     if (this.#links.has(agent)) return false
     this.#links.set(agent, { target: undefined, disconnectedAt: now, lost: true })
     return true
@@ -79,11 +79,11 @@
   }
 
   /** Runs that have been disconnected for `patience` and are not yet given up. */
-  overdue (patience: number, now: number): Instance[] {
+  overdue (timeout: number, now: number): Instance[] {
     const overdue: Instance[] = []
     for (const [agent, link] of this.#links) {
       if (link.lost || link.disconnectedAt === undefined) continue
-      if (now - link.disconnectedAt >= patience) overdue.push(agent)
+      if (now - link.disconnectedAt >= timeout) overdue.push(agent)
     }
     return overdue
   }
--- a/packages/coordination/src/agentstop.ts
+++ b/packages/coordination/src/agentstop.ts
@@ -3,12 +3,12 @@
 import { liveMembers } from './view.ts'
 
 /** How long a planned stop waits for entries to learn of it, and to confirm what was refused. */
-const RELIEF_PATIENCE_MILLISECONDS = 3000
+const ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS = 3000
 
 export class AgentStop {
   #orderedAt: number | undefined
   /** Entries that have answered a heartbeat sent after the planned stop was ordered. */
-  readonly #relievedBy = new Set<Instance>()
+  readonly #acknowledgedBy = new Set<Instance>()
 
   get ordered (): boolean {
     return this.#orderedAt !== undefined
@@ -20,7 +20,7 @@
 
   /** An entry has answered the heartbeat that was sent at `sent`. */
   heartbeatAnswered (entry: Instance, sent: number): void {
-    if (this.#orderedAt !== undefined && sent > this.#orderedAt) this.#relievedBy.add(entry)
+    if (this.#orderedAt !== undefined && sent > this.#orderedAt) this.#acknowledgedBy.add(entry)
   }
 
   /** Time since the order, in milliseconds. */
@@ -28,13 +28,13 @@
     return now - (this.#orderedAt ?? now)
   }
 
-  knownTo (entry: Instance): boolean {
-    return this.#relievedBy.has(entry)
+  acknowledgedBy (entry: Instance): boolean {
+    return this.#acknowledgedBy.has(entry)
   }
 
   /** Whether entries that are not heard of are waited for no longer. */
   overdue (now: number): boolean {
-    return this.orderedFor(now) >= RELIEF_PATIENCE_MILLISECONDS
+    return this.orderedFor(now) >= ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS
   }
 
   /**
@@ -43,7 +43,7 @@
    * ordered would find nobody: its task, which never started, would be answered "may have run". What an
    * entry sends before it answers a heartbeat arrives before the answer, so that it is refused in time.
    */
-  relieved (view: View, now: number): boolean {
-    return this.overdue(now) || liveMembers(view).every(({ instance }) => this.#relievedBy.has(instance))
+  acknowledgedByAll (view: View, now: number): boolean {
+    return this.overdue(now) || liveMembers(view).every(({ instance }) => this.#acknowledgedBy.has(instance))
   }
 }
--- a/packages/coordination/src/agenttasks.ts
+++ b/packages/coordination/src/agenttasks.ts
@@ -5,7 +5,7 @@
 import type { AgentToEntry, Dispatch, Instance, TaskReference } from './messages.ts'
 import type { Slots } from './slots.ts'
 
-export interface AgentTasksParts {
+export interface AgentTasksDependencies {
   slots: Slots
   ledger: Ledger
   guards: AgentGuards
@@ -28,13 +28,13 @@
   #started = 0
   #refused = 0
 
-  constructor (parts: AgentTasksParts) {
-    this.#slots = parts.slots
-    this.#ledger = parts.ledger
-    this.#guards = parts.guards
-    this.#mayStart = parts.mayStart
-    this.#emit = parts.emit
-    this.#send = parts.send
+  constructor (dependencies: AgentTasksDependencies) {
+    this.#slots = dependencies.slots
+    this.#ledger = dependencies.ledger
+    this.#guards = dependencies.guards
+    this.#mayStart = dependencies.mayStart
+    this.#emit = dependencies.emit
+    this.#send = dependencies.send
   }
 
   get running (): number {
@@ -56,18 +56,18 @@
   }
 
   /** Starts a task that nothing stands against, lets it wait, or refuses it when no place is free. */
-  place (entry: Instance, dispatch: Dispatch, now: number): void {
+  admit (entry: Instance, dispatch: Dispatch, now: number): void {
     const number = this.#ledger.accept(dispatch, entry, now)
     const { needs, runMilliseconds, patienceMilliseconds } = dispatch
-    const place = this.#slots.offer({ id: number, entry, needs, runMilliseconds, patienceMilliseconds }, now)
-    if (place === 'full') {
+    const placement = this.#slots.offer({ id: number, entry, needs, runMilliseconds, patienceMilliseconds }, now)
+    if (placement === 'full') {
       const result = this.#ledger.withdraw(number, 'no slot is free', now)
       this.#refused += 1
       if (result !== undefined) this.#send(entry, { case: 'result', value: result })
       return
     }
     this.#dispatches.set(number, dispatch)
-    if (place === 'start') this.#start(number, now)
+    if (placement === 'start') this.#start(number, now)
   }
 
   /** Refuses a dispatch for good: a late copy of it stays refused. */
@@ -94,16 +94,16 @@
       return
     }
     this.#slots.withdraw(number)
-    this.#giveBack(number, 'cancelled before it started', now)
+    this.#returnUnstarted(number, 'cancelled before it started', now)
   }
 
   /**
    * Waiting tasks of an entry that was removed are refused for good, so that the entry that takes
    * over may be told that they did not start.
    */
-  withdrawWaiting (concerns: (holder: Instance) => boolean, detail: string, now: number): void {
+  withdrawWaiting (matches: (holder: Instance) => boolean, detail: string, now: number): void {
     if (!this.#guards.fence) return
-    for (const number of this.#ledger.waitingOf(concerns)) {
+    for (const number of this.#ledger.queuedNumbers(matches)) {
       this.#slots.withdraw(number)
       this.#dispatches.delete(number)
       this.#ledger.withdraw(number, detail, now)
@@ -126,12 +126,12 @@
         this.#start(number, now)
         continue
       }
-      this.#giveBack(number, 'the agent is cut off from the view', now)
+      this.#returnUnstarted(number, 'the agent is cut off from the view', now)
       this.#startNext(this.#slots.release(number), now)
     }
   }
 
-  #giveBack (number: number, detail: string, now: number): void {
+  #returnUnstarted (number: number, detail: string, now: number): void {
     const result = this.#ledger.withdraw(number, detail, now)
     this.#dispatches.delete(number)
     if (result === undefined) return
--- a/packages/coordination/src/secondmemory.ts
+++ b/packages/coordination/src/backupreceipts.ts
@@ -5,32 +5,32 @@
 import { backupsOf } from './rendezvous.ts'
 import { liveMembers } from './view.ts'
 
-export class SecondMemory {
+export class BackupReceipts {
   readonly #context: EntryContext
   /** Told once for each job that is known to a second entry, or that nobody else can know of. */
-  readonly #remembered: (execution: Execution, now: number) => void
+  readonly #onBackedUp: (execution: Execution, now: number) => void
 
-  constructor (context: EntryContext, remembered: (execution: Execution, now: number) => void) {
+  constructor (context: EntryContext, onBackedUp: (execution: Execution, now: number) => void) {
     this.#context = context
-    this.#remembered = remembered
+    this.#onBackedUp = onBackedUp
   }
 
   /**
    * A job that came through another entry is known there; one that did not needs a receipt. An
    * entry that is stopping is no second memory: it may have handed over what it knows already.
    */
-  require (execution: Execution, from: Attachment | undefined, now: number): void {
+  ensure (execution: Execution, from: Attachment | undefined, now: number): void {
     const source = liveMembers(this.#context.view()).find(member => member.instance === from?.entry)
-    const known = source !== undefined && source.instance !== this.#context.instance && !source.leaving
-    if (known || !this.#context.guards.secondMemory) this.#remembered(execution, now)
+    const backedUp = source !== undefined && source.instance !== this.#context.instance && !source.leaving
+    if (backedUp || !this.#context.guards.secondMemory) this.#onBackedUp(execution, now)
     else this.#sendReceipt(execution, now)
   }
 
   /** The backup has the receipt: the first dispatch may go out. */
-  kept (execution: Execution | undefined, backup: Instance, now: number): void {
+  confirmed (execution: Execution | undefined, backup: Instance, now: number): void {
     if (execution?.awaitedBackup !== backup) return
     execution.awaitedBackup = undefined
-    this.#remembered(execution, now)
+    this.#onBackedUp(execution, now)
   }
 
   /** A peer is gone: receipts that it was to keep go to the next one. */
@@ -59,7 +59,7 @@
     const candidates = backupsOf(execution.key, this.#context.instance, members)
     execution.awaitedBackup = candidates.find(candidate => this.#context.peerConnected(candidate)) ?? candidates[0]
     if (execution.awaitedBackup === undefined) {
-      this.#remembered(execution, now)
+      this.#onBackedUp(execution, now)
       return
     }
     const receipt = { job: execution.key, digest: execution.digest, executor: this.#context.instance }
--- a/packages/coordination/src/configurationexchange.ts
+++ b/packages/coordination/src/configurationexchange.ts
@@ -5,12 +5,12 @@
 import type { Scheduler } from './scheduling.ts'
 
 /** Stands for a configuration's document where the version is all that is used. */
-const NO_DOCUMENT = new Uint8Array()
+const EMPTY_DOCUMENT = new Uint8Array()
 
 /** Reads a configuration document of a peer; undefined when it cannot be read. */
 export type ParseConfiguration = (document: Uint8Array, version: number) => Configuration | undefined
 
-export interface ConfigurationExchangeParts {
+export interface ConfigurationExchangeDependencies {
   context: EntryContext
   adoption: ConfigurationAdoption
   scheduler: Scheduler
@@ -26,12 +26,12 @@
   readonly #parse: ParseConfiguration
   readonly #announce: (now: number) => void
 
-  constructor (parts: ConfigurationExchangeParts) {
-    this.#context = parts.context
-    this.#adoption = parts.adoption
-    this.#scheduler = parts.scheduler
-    this.#parse = parts.parse
-    this.#announce = parts.announce
+  constructor (dependencies: ConfigurationExchangeDependencies) {
+    this.#context = dependencies.context
+    this.#adoption = dependencies.adoption
+    this.#scheduler = dependencies.scheduler
+    this.#parse = dependencies.parse
+    this.#announce = dependencies.announce
   }
 
   /** Puts a configuration in force, if it is newer than the one that is. */
@@ -53,7 +53,7 @@
     const { version, document } = this.#adoption.inForce
     for (const to of this.#adoption.due(now)) {
       if (this.#context.peerConnected(to)) this.#context.sendPeer(to, { case: 'configuration', value: { version, document } })
-      else this.#context.sendAgent(to, { case: 'configuration', value: { version, document: NO_DOCUMENT } })
+      else this.#context.sendAgent(to, { case: 'configuration', value: { version, document: EMPTY_DOCUMENT } })
     }
   }
 }
--- a/packages/coordination/src/entry.ts
+++ b/packages/coordination/src/entry.ts
@@ -1,21 +1,24 @@
 /**
- * Decision logic of an entry, composed of its parts: membership, the memory of its job ids, the
- * jobs it runs, the requests of its callers, and the configuration in force.
+ * Decision logic of an entry. It combines membership, the memory of the entry's job ids, the jobs it runs, the requests
+ * of its callers, and the configuration in force.
  */
 import type { AgentSummary } from './agentlinks.ts'
 import type { Timings } from './defaults.ts'
-import type { EntryOptions, EntryParts } from './entryparts.ts'
+import type { EntryOptions, EntryComponents } from './entrycomponents.ts'
 import type { EntryEffect, EntryEvent } from './entrytypes.ts'
 import type { EntryToAgent, Instance, Member, PeerMessage, View } from './messages.ts'
 import type { SchedulerStatus } from './scheduling.ts'
 import { DEFAULT_TIMINGS } from './defaults.ts'
-import { assemble } from './entryparts.ts'
+import { assembleEntry } from './entrycomponents.ts'
 import { EntryState } from './entrytypes.ts'
 import { epochOf, isMember, liveMembers } from './view.ts'
 
-export type { EntryOptions } from './entryparts.ts'
+export type { EntryOptions } from './entrycomponents.ts'
 
-/** How long an entry that has joined waits for its agents and its configuration before it refuses for want of them. */
+/**
+ * How long an entry that has just joined waits for its agents and its configuration before it refuses jobs that it
+ * could not run without them.
+ */
 const SETTLE_MILLISECONDS = 3000
 
 /** Figures for status pages. */
@@ -30,7 +33,7 @@
   heldJobs: number
   receipts: number
   waiting: number
-  /** Since when the memory is complete, in milliseconds since 1970; 0 for ever. */
+  /** Start of the period for which the memory is complete, in milliseconds since 1970; 0 when it always was. */
   horizon: number
   scheduler: SchedulerStatus
 }
@@ -42,8 +45,8 @@
 export class Entry {
   readonly #instance: Instance
   readonly #timings: Timings
-  readonly #parts: EntryParts
-  /** Members of the epoch that was begun last. */
+  readonly #parts: EntryComponents
+  /** Members of the epoch that began last. */
   #members: Member[] = []
   #state = EntryState.Joining
   #lastHeartbeat = Number.NEGATIVE_INFINITY
@@ -76,25 +79,25 @@
   constructor (options: EntryOptions) {
     this.#instance = options.instance
     this.#timings = options.timings ?? DEFAULT_TIMINGS
-    this.#parts = assemble(options, {
+    this.#parts = assembleEntry(options, {
       emit: effect => this.#emit(effect),
       hello: () => this.#hello(),
       heartbeat: now => this.#heartbeat(now),
       members: () => this.#members,
       otherMembers: () => this.#otherMembers(),
       membersChanged: now => this.#membersChanged(now),
-      memoryProgressed: now => this.#memoryProgressed(now),
+      memoryUpdated: now => this.#memoryUpdated(now),
       ready: () => this.#ready,
       settling: now => this.#settling(now),
       stop: () => this.#stop()
     })
   }
 
-  /** Takes one event in and returns what is to be done for it, in order. */
+  /** Handles one event; returns the resulting effects in order. */
   handle (event: EntryEvent, now: number): EntryEffect[] {
     this.#effects = []
     if (this.#stopped) return this.#effects
-    this.#parts.membership.observe(now)
+    this.#parts.membership.detectPause(now)
     const handler = this.#handlers[event.type] as (event: EntryEvent, now: number) => void
     handler(event, now)
     if (this.#state !== EntryState.Fenced) this.#parts.jobs.dispatch(now)
@@ -127,38 +130,38 @@
     }
     if (!this.#parts.membership.joined) return
     this.#joinedAt ??= now
-    this.#noteLosses(now)
+    this.#handleRemovedMembers(now)
     this.#members = liveMembers(this.#parts.membership.view)
     this.#parts.scheduler.setEntryCount(this.#members.filter(member => !member.leaving).length || 1, now)
     this.#beginTakeover(now)
     this.#parts.transfers.releaseOrphans(now)
-    this.#parts.peerExchange.greetRemoved()
+    this.#parts.peerExchange.notifyRemovedPeers()
     const peers = this.#otherMembers()
     this.#emit({ type: 'connectPeers', peers: peers.map(({ instance, address }) => ({ instance, address })) })
     this.#parts.agentExchange.membersChanged()
     for (const peer of peers) this.#parts.transfers.send(peer.instance)
     for (const peer of peers) if (!this.#parts.links.peers.has(peer.instance)) this.#parts.jobs.peerLost(peer.instance, now)
-    this.#parts.memory.settle(now)
+    this.#parts.memory.update(now)
     this.#parts.router.membersChanged(now)
-    this.#memoryProgressed(now)
+    this.#memoryUpdated(now)
   }
 
-  #noteLosses (now: number): void {
+  #handleRemovedMembers (now: number): void {
     for (const { instance } of this.#members) {
       if (isMember(this.#parts.membership.view, instance)) continue
       this.#parts.jobs.peerLost(instance, now)
-      this.#parts.memory.memberGone(instance, now)
+      this.#parts.memory.memberRemoved(instance, now)
     }
     this.#parts.memory.expireLosses(now)
   }
 
   #beginTakeover (now: number): void {
-    this.#parts.memory.begin()
+    this.#parts.memory.beginEpoch()
     this.#parts.takeover.begin({
       epoch: epochOf(this.#parts.membership.view),
       peers: this.#otherMembers().map(member => member.instance),
       agents: this.#parts.agents.disconnections(),
-      memoriesLost: this.#parts.memory.losses > 1,
+      bothCopiesLost: this.#parts.memory.losses > 1,
       now
     })
   }
@@ -169,18 +172,18 @@
 
   // State
 
-  /** Whether the memory has ever been complete, and the entry is not just waking. */
+  /** Whether the memory has ever been complete and the entry is not resuming from a pause. */
   get #ready (): boolean {
-    return this.#parts.memory.complete && !this.#parts.membership.waking
+    return this.#parts.memory.complete && !this.#parts.membership.resuming
   }
 
-  /** Whether this entry has just joined, and its agents and its configuration may still be on their way. */
+  /** Whether this entry has just joined, so that its agents and its configuration may not have arrived yet. */
   #settling (now: number): boolean {
     return this.#joinedAt !== undefined && now - this.#joinedAt < SETTLE_MILLISECONDS
   }
 
-  #memoryProgressed (now: number): void {
-    this.#parts.memory.settle(now)
+  #memoryUpdated (now: number): void {
+    this.#parts.memory.update(now)
     this.#parts.router.unpark(now)
     this.#refreshState()
   }
@@ -202,7 +205,7 @@
     this.#emit({ type: 'stateChanged', state, detail: `view ${this.#parts.membership.view.version}: ${members}` })
   }
 
-  /** Another entry has taken over: nothing of what is held here may be acted on any more. */
+  /** Another entry has taken over, so nothing held here may be acted on any more. */
   #replaced (): void {
     if (!this.#parts.plannedStop.departing) this.#changeState(EntryState.Fenced)
     this.#stop()
@@ -229,7 +232,7 @@
     this.#parts.receipts.expire(now)
     this.#parts.jobs.tick(now)
     this.#parts.router.tick(now)
-    this.#memoryProgressed(now)
+    this.#memoryUpdated(now)
     if (now - this.#lastHeartbeat >= this.#timings.heartbeat) this.#heartbeat(now)
     this.#parts.plannedStop.tick(now)
   }
--- a/packages/coordination/src/entryparts.ts
+++ b/packages/coordination/src/entrycomponents.ts
@@ -16,7 +16,7 @@
 import { Membership } from './membership.ts'
 import { PeerExchange } from './peerexchange.ts'
 import { PlannedStop } from './plannedstop.ts'
-import { RangeMemory } from './rangememory.ts'
+import { JobMemory } from './jobmemory.ts'
 import { Receipts } from './receipts.ts'
 import { Router } from './router.ts'
 import { Takeover } from './takeover.ts'
@@ -51,20 +51,20 @@
   otherMembers: () => readonly Member[]
   membersChanged: (now: number) => void
   /** Something was learnt of what others hold or have started. */
-  memoryProgressed: (now: number) => void
+  memoryUpdated: (now: number) => void
   ready: () => boolean
   settling: (now: number) => boolean
   stop: () => void
 }
 
-export interface EntryParts {
+export interface EntryComponents {
   readonly scheduler: Scheduler
   readonly adoption: ConfigurationAdoption
   readonly agents: AgentLinks
   readonly links: EntryLinks
   readonly membership: Membership
   readonly takeover: Takeover
-  readonly memory: RangeMemory
+  readonly memory: JobMemory
   readonly receipts: Receipts
   readonly jobs: Jobs
   readonly router: Router
@@ -76,16 +76,16 @@
 }
 
 /** Makes the parts, each with what it needs of the others. */
-export function assemble (options: EntryOptions, hooks: EntryHooks): EntryParts {
+export function assembleEntry (options: EntryOptions, hooks: EntryHooks): EntryComponents {
   const { scheduler, parseConfiguration: parse } = options
-  const { hello, members, otherMembers, membersChanged, memoryProgressed, ready, settling, stop } = hooks
+  const { hello, members, otherMembers, membersChanged, memoryUpdated, ready, settling, stop } = hooks
   const agents = new AgentLinks()
   const links = new EntryLinks(agents, hooks.emit)
   const adoption = new ConfigurationAdoption({ random: options.random })
   const context = newContext(options, hooks, links, agents, () => membership)
   const membership = newMembership(options, context, links)
   const takeover = new Takeover(context.timings)
-  const memory = new RangeMemory({ context, membership, takeover, agents })
+  const memory = new JobMemory({ context, membership, takeover, agents })
   const receipts = new Receipts(context.timings.retention)
   const jobs: Jobs = new Jobs(context, scheduler, (to, job, answer, now) => router.reply(to, job, answer, now))
   const horizon = (): number => memory.horizon
@@ -93,8 +93,8 @@
   const router = new Router({ context, jobs, receipts, takeover, horizon, ready, settling, inForce })
   const transfers = new Transfers({ context, jobs, receipts, agents, takeover, memory, members })
   const configurations = new ConfigurationExchange({ context, adoption, scheduler, parse, announce: hooks.heartbeat })
-  const agentExchange = new AgentExchange({ context, agents, membership, takeover, scheduler, jobs, adoption, members, hello, memoryProgressed })
-  const peerExchange = new PeerExchange({ context, links, membership, adoption, configurations, receipts, jobs, router, transfers, hello, membersChanged, memoryProgressed })
+  const agentExchange = new AgentExchange({ context, agents, membership, takeover, scheduler, jobs, adoption, members, hello, memoryUpdated })
+  const peerExchange = new PeerExchange({ context, links, membership, adoption, configurations, receipts, jobs, router, transfers, hello, membersChanged, memoryUpdated })
   const idle = (): boolean => jobs.open === 0 && router.waiting === 0
   const handOver = (): void => transfers.handOver(otherMembers())
   const plannedStop = new PlannedStop({ context, membership, otherMembers, idle, handOver, stop })
--- a/packages/coordination/src/handover.ts
+++ b/packages/coordination/src/handover.ts
@@ -13,7 +13,7 @@
   readonly answer: Answer | undefined
 }
 
-export interface HandoverParts {
+export interface HandoverInput {
   self: Instance
   remaining: readonly Member[]
   jobs: Iterable<HeldJob>
@@ -21,35 +21,35 @@
 }
 
 /** The last receipt of a handover names no job: what an entry sent before it stopped is complete. */
-const CLOSING_JOB: JobKey = ''
+const END_MARKER_JOB: JobKey = ''
 
 /** Receipts by the entry that they go to; each list ends with the closing one. */
-export function handoverOf ({ self, remaining, jobs, receipts }: HandoverParts): Map<Instance, Receipt[]> {
+export function handoverOf ({ self, remaining, jobs, receipts }: HandoverInput): Map<Instance, Receipt[]> {
   const handover = new Map<Instance, Receipt[]>(remaining.map(member => [member.instance, []]))
-  const give = (to: Instance | undefined, receipt: Receipt): void => {
+  const add = (to: Instance | undefined, receipt: Receipt): void => {
     if (to !== undefined) handover.get(to)?.push(receipt)
   }
   for (const { key, digest, answer } of jobs) {
     const owner = ownerOf(key, remaining)
     if (owner === undefined) continue
-    give(owner, { job: key, digest, executor: self, ...(answer !== undefined && { answer }) })
-    give(backupsOf(key, owner, remaining)[0], { job: key, digest, executor: self })
+    add(owner, { job: key, digest, executor: self, ...(answer !== undefined && { answer }) })
+    add(backupsOf(key, owner, remaining)[0], { job: key, digest, executor: self })
   }
   for (const { job, digest, executor } of receipts) {
     const [first, second] = backupsOf(job, executor, remaining)
-    give(first, { job, digest, executor })
-    if (!handover.has(executor)) give(second, { job, digest, executor })
+    add(first, { job, digest, executor })
+    if (!handover.has(executor)) add(second, { job, digest, executor })
   }
-  for (const list of handover.values()) list.push({ job: CLOSING_JOB, digest: '', executor: self })
+  for (const list of handover.values()) list.push({ job: END_MARKER_JOB, digest: '', executor: self })
   return handover
 }
 
 /** Whether these receipts are the whole handover of a stopping entry. */
 export function isHandover (receipts: readonly Receipt[]): boolean {
-  return receipts.at(-1)?.job === CLOSING_JOB
+  return receipts.at(-1)?.job === END_MARKER_JOB
 }
 
 /** The receipts that name jobs. */
 export function receiptsOfJobs (receipts: readonly Receipt[]): Receipt[] {
-  return receipts.filter(receipt => receipt.job !== CLOSING_JOB)
+  return receipts.filter(receipt => receipt.job !== END_MARKER_JOB)
 }
--- a/packages/coordination/src/holders.ts
+++ b/packages/coordination/src/holders.ts
@@ -20,7 +20,7 @@
   }
 
   /** The other entry that has or would have the job; undefined when it is this one's. */
-  elsewhere (job: JobKey): Instance | undefined {
+  otherHolder (job: JobKey): Instance | undefined {
     const holder = this.#holderOf(job)
     return holder === this.#context.instance ? undefined : holder
   }
--- a/packages/coordination/src/taking.ts
+++ b/packages/coordination/src/jobintake.ts
@@ -1,6 +1,6 @@
 /**
- * Taking jobs up at this entry: one that is held gets a further request, an unknown one is taken as
- * new, and either waits, parked, until what others know of it has come in.
+ * Accepts submitted jobs at this entry: a job that is already held gets a further request, an unknown one is accepted
+ * as new. Either is parked until the other processes have reported what they hold of it.
  */
 import type { EntryContext } from './entrycontext.ts'
 import type { Attachment, Execution } from './execution.ts'
@@ -11,35 +11,35 @@
 import type { Takeover } from './takeover.ts'
 import { answerWithout } from './execution.ts'
 import { AnswerKind, Cause } from './messages.ts'
-import { unreached } from './unproved.ts'
+import { ownerUnreachable } from './uncertainanswers.ts'
 
-/** A job id that is taken up when the memory of its range is complete. */
-interface Parked {
+/** A job that waits until the memory of its job ids is complete. */
+interface ParkedJob {
   job: Job
   from: Attachment
   deadline: number
 }
 
-export interface TakingParts {
+export interface JobIntakeDependencies {
   context: EntryContext
   jobs: Jobs
   receipts: Receipts
   takeover: Takeover
   holders: Holders
-  /** Since when the memory is complete, in milliseconds since 1970; 0 for ever. */
+  /** Start of the period for which the memory is complete, in milliseconds since 1970; 0 when it always was. */
   horizon: () => number
-  /** Whether this entry is, or was, a member with a complete memory: until then it holds requests back. */
+  /** Whether this entry is, or was, a member with a complete memory. Until then requests are parked. */
   ready: () => boolean
-  /** Whether this entry has just joined, and its agents and its configuration may still be on their way. */
+  /** Whether this entry has just joined, so that its agents and its configuration may not have arrived yet. */
   settling: (now: number) => boolean
   reply: Reply
-  /** Whether callers of this entry waited for the job, and all have gone: it is given up then. */
+  /** Whether callers of this entry waited for the job and all of them disconnected; drops the job in that case. */
   dropAbandoned: (job: JobKey) => boolean
   /** Hands a job that callers of this entry wait for to another entry. */
-  passOn: (job: JobKey, holder: Instance, now: number) => void
+  forward: (job: JobKey, holder: Instance, now: number) => void
 }
 
-export class Taking {
+export class JobIntake {
   readonly #context: EntryContext
   readonly #jobs: Jobs
   readonly #receipts: Receipts
@@ -50,25 +50,25 @@
   readonly #settling: (now: number) => boolean
   readonly #reply: Reply
   readonly #dropAbandoned: (job: JobKey) => boolean
-  readonly #passOn: (job: JobKey, holder: Instance, now: number) => void
-  #parked: Parked[] = []
+  readonly #forward: (job: JobKey, holder: Instance, now: number) => void
+  #parked: ParkedJob[] = []
 
-  constructor (parts: TakingParts) {
-    this.#context = parts.context
-    this.#jobs = parts.jobs
-    this.#receipts = parts.receipts
-    this.#takeover = parts.takeover
-    this.#holders = parts.holders
-    this.#horizon = parts.horizon
-    this.#ready = parts.ready
-    this.#settling = parts.settling
-    this.#reply = parts.reply
-    this.#dropAbandoned = parts.dropAbandoned
-    this.#passOn = parts.passOn
+  constructor (dependencies: JobIntakeDependencies) {
+    this.#context = dependencies.context
+    this.#jobs = dependencies.jobs
+    this.#receipts = dependencies.receipts
+    this.#takeover = dependencies.takeover
+    this.#holders = dependencies.holders
+    this.#horizon = dependencies.horizon
+    this.#ready = dependencies.ready
+    this.#settling = dependencies.settling
+    this.#reply = dependencies.reply
+    this.#dropAbandoned = dependencies.dropAbandoned
+    this.#forward = dependencies.forward
   }
 
-  /** A job that a caller of this entry, or another entry for one of its own, submits. */
-  take (job: Job, from: Attachment, now: number): void {
+  /** Handles a job submitted by a caller of this entry, or forwarded by another entry. */
+  submit (job: Job, from: Attachment, now: number): void {
     const refusal = this.#jobs.earlierRefusal(from)
     if (refusal !== undefined) {
       this.#reply(from, job.key, refusal, now)
@@ -78,9 +78,9 @@
       this.#park(job, from, now)
       return
     }
-    const holder = this.#holders.elsewhere(job.key)
+    const holder = this.#holders.otherHolder(job.key)
     if (holder !== undefined) {
-      this.#elsewhere(job, from, holder, now)
+      this.#forwardToHolder(job, from, holder, now)
       return
     }
     const held = this.#context.guards.claim ? this.#jobs.get(job.key) : undefined
@@ -88,39 +88,39 @@
       this.#attach(held, job, from, now)
       return
     }
-    this.#takeOwn(job, from, now)
+    this.#acceptOwned(job, from, now)
   }
 
-  /** Looks at the parked jobs again. */
-  unpark (now: number): void {
+  /** Submits the parked jobs again; answers those whose deadline has passed. */
+  retryParked (now: number): void {
     const parked = this.#parked
     this.#parked = []
     for (const { job, from, deadline } of parked) {
       if (from.entry === this.#context.instance && this.#dropAbandoned(job.key)) continue
       const remainingMilliseconds = deadline - now
-      if (remainingMilliseconds > 0) this.take({ ...job, remainingMilliseconds }, from, now)
-      else this.#reply(from, job.key, unreached(), now)
+      if (remainingMilliseconds > 0) this.submit({ ...job, remainingMilliseconds }, from, now)
+      else this.#reply(from, job.key, ownerUnreachable(), now)
     }
   }
 
-  /** Parked jobs are given up. */
+  /** Discards the parked jobs. */
   stopped (): void {
     this.#parked = []
   }
 
-  #takeOwn (job: Job, from: Attachment, now: number): void {
+  #acceptOwned (job: Job, from: Attachment, now: number): void {
     const receipt = this.#context.guards.claim ? this.#receipts.get(job.key) : undefined
     if (receipt !== undefined) {
       this.#receipts.delete(receipt.job)
       this.#attach(this.#jobs.adopt(receipt.job, receipt.digest, receipt.executor, now), job, from, now)
       return
     }
-    if (this.#context.guards.takeover && !this.#takeover.unknownIsNew) {
+    if (this.#context.guards.takeover && !this.#takeover.unknownJobsAreNew) {
       this.#park(job, from, now)
       return
     }
-    const forgotten = this.#beforeHorizon(job)
-    if (forgotten && !job.repeatable) {
+    const beforeHorizon = this.#beforeHorizon(job)
+    if (beforeHorizon && !job.repeatable) {
       const detail = 'the job was lodged before the memory of the system begins: it may have run'
       this.#reply(from, job.key, answerWithout(AnswerKind.MayHaveRun, Cause.BeforeHorizon, detail), now)
       return
@@ -129,14 +129,17 @@
       this.#park(job, from, now)
       return
     }
-    this.#jobs.accept(job, from, forgotten, now)
+    this.#jobs.accept(job, from, beforeHorizon, now)
   }
 
-  /** What a lost entry had is taken up only when every agent has told what it started, or is given up. */
+  /**
+   * Attaches a request to a held job. A job of a lost entry is resumed only once every agent has sent its ledger
+   * records or timed out.
+   */
   #attach (held: Execution, job: Job, from: Attachment, now: number): void {
-    const told = this.#takeover.transfersComplete && this.#takeover.recallEnded
-    if (held.resumable && this.#context.guards.takeover && !told) this.#park(job, from, now)
-    else this.#jobs.attach(held, job, from, this.#takeover.ledgersComplete && !this.#outlived(job), now)
+    const recallFinished = this.#takeover.transfersComplete && this.#takeover.recallEnded
+    if (held.resumable && this.#context.guards.takeover && !recallFinished) this.#park(job, from, now)
+    else this.#jobs.attach(held, job, from, this.#takeover.ledgersComplete && !this.#isOlderThanRetention(job), now)
   }
 
   #park (job: Job, from: Attachment, now: number): void {
@@ -144,27 +147,27 @@
     if (!known) this.#parked.push({ job, from, deadline: now + job.remainingMilliseconds })
   }
 
-  #elsewhere (job: Job, from: Attachment, holder: Instance, now: number): void {
-    if (from.entry === this.#context.instance) this.#passOn(job.key, holder, now)
+  #forwardToHolder (job: Job, from: Attachment, holder: Instance, now: number): void {
+    if (from.entry === this.#context.instance) this.#forward(job.key, holder, now)
     else this.#holders.redirect(from, job.key, holder)
   }
 
   /**
-   * Whether an unknown job may have run before the memory begins. A job that says when it was
-   * lodged is judged by that; one that says nothing is taken as lodged before the horizon for as
-   * long as a job from before it would have been remembered.
+   * Whether an unknown job may have run before the period that the memory covers. A job with a lodging time is compared
+   * with the horizon. One without is assumed to predate the horizon for as long as a job from before it would have been
+   * retained.
    */
   #beforeHorizon (job: Job): boolean {
     if (!this.#context.guards.horizon) return false
     const { retention, clockMargin } = this.#context.timings
     const horizon = this.#horizon()
     if (job.lodgedAt === 0) return horizon > 0 && this.#context.wallClock() < horizon + retention
-    if (this.#outlived(job)) return true
+    if (this.#isOlderThanRetention(job)) return true
     return horizon > 0 && job.lodgedAt < horizon + clockMargin
   }
 
-  /** Whether the job is older than what anybody remembers: then no ledger need name it. */
-  #outlived (job: Job): boolean {
+  /** Whether the job is older than the retention time, so that ledgers may no longer contain it. */
+  #isOlderThanRetention (job: Job): boolean {
     return job.lodgedAt !== 0 && job.lodgedAt < this.#context.wallClock() - this.#context.timings.retention
   }
 }
--- a/packages/coordination/src/questions.ts
+++ b/packages/coordination/src/jobqueries.ts
@@ -1,4 +1,4 @@
-/** Cancels and look-ups: each goes to the entry that has the job, and is answered within a bounded time. */
+/** Cancels and look-ups. Each is sent to the entry that has the job, and is answered within a bounded time. */
 import type { EntryContext } from './entrycontext.ts'
 import type { Attachment } from './execution.ts'
 import type { Holders } from './holders.ts'
@@ -8,29 +8,29 @@
 import { AnswerKind, Cause, JobState } from './messages.ts'
 
 /** How long a cancel or look-up waits for another entry, in milliseconds. */
-const QUESTION_PATIENCE_MILLISECONDS = 3000
+const QUERY_TIMEOUT_MILLISECONDS = 3000
 
-/** A cancel or a look-up on its way. */
-interface Question {
+/** A cancel or look-up in progress. */
+interface Query {
   kind: 'cancel' | 'lookUp'
   request: string
   job: JobKey
   expiresAt: number
 }
 
-export interface QuestionsParts {
+export interface JobQueriesDependencies {
   context: EntryContext
   jobs: Jobs
   holders: Holders
-  /** Whether this entry is, or was, a member with a complete memory: until then it says nothing. */
+  /** Whether this entry is, or was, a member with a complete memory. Until then no query is processed. */
   ready: () => boolean
-  /** Whether a job that nobody knows of has provably never run. */
+  /** Whether a job that no entry knows has provably never run. */
   unknownNeverRan: (job: JobKey) => boolean
   newSubmission: () => string
   reply: Reply
 }
 
-export class Questions {
+export class JobQueries {
   readonly #context: EntryContext
   readonly #jobs: Jobs
   readonly #holders: Holders
@@ -38,48 +38,48 @@
   readonly #unknownNeverRan: (job: JobKey) => boolean
   readonly #newSubmission: () => string
   readonly #reply: Reply
-  readonly #questions = new Map<string, Question>()
-
-  constructor (parts: QuestionsParts) {
-    this.#context = parts.context
-    this.#jobs = parts.jobs
-    this.#holders = parts.holders
-    this.#ready = parts.ready
-    this.#unknownNeverRan = parts.unknownNeverRan
-    this.#newSubmission = parts.newSubmission
-    this.#reply = parts.reply
+  readonly #queries = new Map<string, Query>()
+
+  constructor (dependencies: JobQueriesDependencies) {
+    this.#context = dependencies.context
+    this.#jobs = dependencies.jobs
+    this.#holders = dependencies.holders
+    this.#ready = dependencies.ready
+    this.#unknownNeverRan = dependencies.unknownNeverRan
+    this.#newSubmission = dependencies.newSubmission
+    this.#reply = dependencies.reply
   }
 
   get size (): number {
-    return this.#questions.size
+    return this.#queries.size
   }
 
   cancel (request: string, job: JobKey, now: number): void {
-    this.#question('cancel', request, job, now)
+    this.#startQuery('cancel', request, job, now)
   }
 
   lookUp (request: string, job: JobKey, now: number): void {
-    this.#question('lookUp', request, job, now)
+    this.#startQuery('lookUp', request, job, now)
   }
 
-  /** Takes an answer in if it is to a question; whether it was. */
+  /** Delivers an answer if it belongs to a query; returns whether it did. */
   answered (submission: string, answer: Answer): boolean {
-    const question = this.#questions.get(submission)
-    if (question === undefined) return false
-    this.#questions.delete(submission)
-    this.#context.emit({ type: 'answer', request: question.request, answer })
+    const query = this.#queries.get(submission)
+    if (query === undefined) return false
+    this.#queries.delete(submission)
+    this.#context.emit({ type: 'answer', request: query.request, answer })
     return true
   }
 
-  /** Asks the entry that another one names, if it was asked a question; whether it was. */
+  /** Sends a query on to the entry that another one named; returns whether the submission belongs to a query. */
   redirected (submission: string, holder: Instance): boolean {
-    const question = this.#questions.get(submission)
-    if (question === undefined) return false
-    if (holder !== this.#context.instance) this.#ask(question, submission, holder)
+    const query = this.#queries.get(submission)
+    if (query === undefined) return false
+    if (holder !== this.#context.instance) this.#ask(query, submission, holder)
     return true
   }
 
-  /** A cancel that came from another entry, or from this one. */
+  /** Handles a cancel from this entry or another. */
   cancelFor (from: Attachment, job: JobKey, now: number): void {
     const held = this.#jobs.get(job)
     if (held === undefined) {
@@ -98,9 +98,9 @@
     this.#jobs.cancel(held, now)
   }
 
-  /** A look-up that came from another entry, or from this one. */
+  /** Handles a look-up from this entry or another. */
   lookUpFor (from: Attachment, job: JobKey): void {
-    const holder = this.#holders.elsewhere(job)
+    const holder = this.#holders.otherHolder(job)
     if (holder !== undefined && from.entry !== this.#context.instance) {
       this.#holders.redirect(from, job, holder)
       return
@@ -110,39 +110,39 @@
     this.lookedUp(from, job, state, held?.answer)
   }
 
-  /** Gives what a look-up found to the entry that asked. */
+  /** Sends the result of a look-up to the entry that asked. */
   lookedUp (to: Attachment, job: JobKey, state: JobState, answer: Answer | undefined): void {
     if (to.entry !== this.#context.instance) {
       const value = { job, submission: to.submission, state, ...(answer !== undefined && { answer }) }
       this.#context.sendPeer(to.entry, { case: 'lookedUp', value })
       return
     }
-    const question = this.#questions.get(to.submission)
-    if (question === undefined) return
-    this.#questions.delete(to.submission)
-    this.#context.emit({ type: 'lookedUp', request: question.request, state, ...(answer !== undefined && { answer }) })
+    const query = this.#queries.get(to.submission)
+    if (query === undefined) return
+    this.#queries.delete(to.submission)
+    this.#context.emit({ type: 'lookedUp', request: query.request, state, ...(answer !== undefined && { answer }) })
   }
 
   tick (now: number): void {
-    for (const [submission, question] of this.#questions) {
-      if (now >= question.expiresAt) this.#expired(submission, question)
+    for (const [submission, query] of this.#queries) {
+      if (now >= query.expiresAt) this.#expire(submission, query)
     }
   }
 
-  /** Gives every question this answer: the entry ends. */
+  /** Answers every open query with `answer`, because the entry stops. */
   stopped (answer: Answer): void {
-    for (const { request } of this.#questions.values()) this.#context.emit({ type: 'answer', request, answer })
-    this.#questions.clear()
+    for (const { request } of this.#queries.values()) this.#context.emit({ type: 'answer', request, answer })
+    this.#queries.clear()
   }
 
-  #question (kind: Question['kind'], request: string, job: JobKey, now: number): void {
+  #startQuery (kind: Query['kind'], request: string, job: JobKey, now: number): void {
     const submission = this.#newSubmission()
-    const question = { kind, request, job, expiresAt: now + QUESTION_PATIENCE_MILLISECONDS }
-    this.#questions.set(submission, question)
+    const query = { kind, request, job, expiresAt: now + QUERY_TIMEOUT_MILLISECONDS }
+    this.#queries.set(submission, query)
     if (!this.#ready()) return
-    const holder = this.#holders.elsewhere(job)
+    const holder = this.#holders.otherHolder(job)
     if (holder !== undefined) {
-      this.#ask(question, submission, holder)
+      this.#ask(query, submission, holder)
       return
     }
     const from = { entry: this.#context.instance, submission }
@@ -150,12 +150,12 @@
     else this.lookUpFor(from, job)
   }
 
-  #ask (question: Question, submission: string, holder: Instance): void {
-    this.#context.sendPeer(holder, { case: question.kind, value: { job: question.job, submission } })
+  #ask (query: Query, submission: string, holder: Instance): void {
+    this.#context.sendPeer(holder, { case: query.kind, value: { job: query.job, submission } })
   }
 
   #cancelUnknown (from: Attachment, job: JobKey, now: number): void {
-    const holder = this.#holders.elsewhere(job)
+    const holder = this.#holders.otherHolder(job)
     if (holder !== undefined && from.entry !== this.#context.instance) {
       this.#holders.redirect(from, job, holder)
       return
@@ -164,13 +164,13 @@
     this.#reply(from, job, answerWithout(kind, Cause.Cancelled, 'no such job is known: there is nothing to cancel'), now)
   }
 
-  #expired (submission: string, question: Question): void {
-    this.#questions.delete(submission)
-    if (question.kind === 'lookUp') {
-      this.#context.emit({ type: 'lookedUp', request: question.request, state: JobState.Unknown })
+  #expire (submission: string, query: Query): void {
+    this.#queries.delete(submission)
+    if (query.kind === 'lookUp') {
+      this.#context.emit({ type: 'lookedUp', request: query.request, state: JobState.Unknown })
       return
     }
     const answer = answerWithout(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, 'the entry that has the job did not answer')
-    this.#context.emit({ type: 'answer', request: question.request, answer })
+    this.#context.emit({ type: 'answer', request: query.request, answer })
   }
 }
--- a/packages/coordination/src/jobs.ts
+++ b/packages/coordination/src/jobs.ts
@@ -12,7 +12,7 @@
 import { IndexedHeap } from './heap.ts'
 import { AnswerKind, Cause, JobState } from './messages.ts'
 import { Refusals } from './refusals.ts'
-import { SecondMemory } from './secondmemory.ts'
+import { BackupReceipts } from './backupreceipts.ts'
 
 /** Tells an entry, this one or another, the answer to one of its requests. */
 export type Reply = (to: Attachment, job: JobKey, answer: Answer, now: number) => void
@@ -31,7 +31,7 @@
   readonly #refusals: Refusals
   readonly #deadlines = new IndexedHeap<Execution>()
   readonly #dispatching: Dispatching
-  readonly #secondMemory: SecondMemory
+  readonly #secondMemory: BackupReceipts
   #open = 0
   #refusalSaidAt = Number.NEGATIVE_INFINITY
   #refusalsUnsaid = 0
@@ -44,7 +44,7 @@
     this.#answered = new AnsweredJobs({ retention, answerBytes: context.limits.answerBytes })
     this.#refusals = new Refusals(retention)
     this.#dispatching = new Dispatching(context, scheduler)
-    this.#secondMemory = new SecondMemory(context, (execution, now) => this.#dispatching.enqueue(execution, now))
+    this.#secondMemory = new BackupReceipts(context, (execution, now) => this.#dispatching.enqueue(execution, now))
   }
 
   get open (): number {
@@ -87,7 +87,7 @@
     execution.begin(job, now)
     execution.attach(from)
     this.#deadlines.set(execution, execution.deadline)
-    this.#secondMemory.require(execution, from, now)
+    this.#secondMemory.ensure(execution, from, now)
   }
 
   /** Under overload few of the refusals are logged, with the count of the others. */
@@ -184,7 +184,7 @@
 
   /** The backup has the receipt: the first dispatch may go out. */
   receiptKept (job: JobKey, backup: Instance, now: number): void {
-    this.#secondMemory.kept(this.#held.get(job), backup, now)
+    this.#secondMemory.confirmed(this.#held.get(job), backup, now)
   }
 
   /** A link to a peer is up: receipts that could not be sent, or were lost with the old link, go out. */
@@ -257,7 +257,7 @@
       return
     }
     this.#dispatching.claimOutstanding(execution, now)
-    this.#secondMemory.require(execution, execution.attached[0], now)
+    this.#secondMemory.ensure(execution, execution.attached[0], now)
   }
 
   #finishWith (execution: Execution, answer: Answer | undefined, now: number): void {
--- a/packages/coordination/src/ledger.ts
+++ b/packages/coordination/src/ledger.ts
@@ -1,62 +1,65 @@
 /**
- * The start ledger of an agent: which tasks it was given, which of them it started, and how they
- * ended. It is the only memory of starts, so a task that stands in it as started is never started
- * again, and a task that it has refused will never start under that attempt.
+ * The start ledger of an agent: which tasks it accepted, which of them it started, and how they ended.
+ *
+ * The ledger is the only record of starts. A task recorded as started is never started again, and a refused attempt
+ * never starts.
  */
 import type { Dispatch, Instance, JobKey, LedgerLine, TaskReference, TaskResult } from './messages.ts'
 import { LedgerState, TaskOutcome } from './messages.ts'
 
 /** One task of one job at this agent. */
-interface Entry {
+interface LedgerRecord {
   number: number
   reference: TaskReference
   state: LedgerState
-  /** Entry that will be told the outcome. */
+  /** Entry that the outcome is sent to. */
   holder: Instance
   outcome: TaskOutcome
   payload: Uint8Array | undefined
   detail: string
   runMilliseconds: number
   acknowledged: boolean
-  /** The holder got it from a lost entry, by a recall. */
+  /** The holder received the record through a recall, after another entry was lost. */
   handedOver: boolean
-  /** Clock reading of the last change, for retention. */
+  /** Time of the last change, from which the retention time counts. */
   changedAt: number
 }
 
-/** What the ledger says of a dispatch. */
-export enum Verdict {
-  /** Never seen: it may be offered a slot. */
+/** How a dispatch compares with the ledger. */
+export enum DispatchStatus {
+  /** Not recorded: the task may be offered a slot. */
   New = 'new',
-  /** Known, waiting or running: nothing to do. */
+  /** Recorded, and waiting or running: nothing to do. */
   Known = 'known',
-  /** Known and finished, or refused: the outcome is to be sent again. */
+  /** Recorded as finished or refused: the outcome is sent again. */
   Settled = 'settled'
 }
 
 /**
- * A start is remembered longer than any entry remembers its job, so that "no ledger names it" never
- * means "the ledger has forgotten".
+ * Starts are kept longer than any entry keeps the job. Otherwise a missing record could mean either that the task
+ * never started or that its record expired.
  */
 const RETENTION_FACTOR = 2
 
-const NO_PAYLOAD = new Uint8Array()
+const EMPTY_PAYLOAD = new Uint8Array()
 
 function taskKey (job: JobKey, index: number): string {
   return `${job}/${index}`
 }
 
-/** Remembers tasks by job and index, within bounds of time and bytes. */
+/** Stores tasks by job and index, limited by retention time and by bytes of results. */
 export class Ledger {
-  readonly #entries = new Map<string, Entry>()
-  readonly #byNumber = new Map<number, Entry>()
+  readonly #entries = new Map<string, LedgerRecord>()
+  readonly #unfinished = new Map<number, LedgerRecord>()
   readonly #retention: number
   readonly #payloadLimit: number
   #payloadBytes = 0
   #nextNumber = 1
 
-  /** @param retention milliseconds for which entries remember a job; a settled task is remembered longer
-   *  @param payloadLimit bytes of results held */
+  /**
+   * @param retention milliseconds for which entries keep a job; finished and refused tasks are kept longer
+   * @param payloadLimit maximum bytes of results held
+   */
   constructor (retention: number, payloadLimit: number) {
     this.#retention = retention * RETENTION_FACTOR
     this.#payloadLimit = payloadLimit
@@ -71,156 +74,163 @@
   }
 
   /**
-   * Looks a dispatch up. A copy of a dispatch that was delivered before, late or twice, is known
-   * here and does not start the task a second time; one at or below a refused attempt stays refused.
+   * Looks a dispatch up in the ledger.
+   *
+   * A duplicate or late copy of a dispatch is found here and does not start the task a second time. A copy at or below
+   * a refused attempt stays refused.
    */
-  examine (dispatch: Dispatch): Verdict {
-    const entry = this.#entries.get(taskKey(dispatch.job, dispatch.index))
-    if (entry === undefined) return Verdict.New
-    if (entry.state === LedgerState.Refused) {
-      return dispatch.attempt > entry.reference.attempt ? Verdict.New : Verdict.Settled
+  statusOf (dispatch: Dispatch): DispatchStatus {
+    const record = this.#entries.get(taskKey(dispatch.job, dispatch.index))
+    if (record === undefined) return DispatchStatus.New
+    if (record.state === LedgerState.Refused) {
+      return dispatch.attempt > record.reference.attempt ? DispatchStatus.New : DispatchStatus.Settled
     }
-    return entry.state === LedgerState.Finished ? Verdict.Settled : Verdict.Known
+    return record.state === LedgerState.Finished ? DispatchStatus.Settled : DispatchStatus.Known
   }
 
-  /** Writes a task down as accepted and not started; its number names it from now on. */
+  /** Records a task as accepted but not started; returns the number that identifies it from now on. */
   accept (dispatch: Dispatch, holder: Instance, now: number): number {
-    const entry = this.#write(dispatch, holder, LedgerState.Queued, now)
-    return entry.number
+    const record = this.#write(dispatch, holder, LedgerState.Queued, now)
+    return record.number
   }
 
-  /** Writes a task down as refused, so that no later copy of this attempt starts it. */
+  /** Records a task as refused, so that no later copy of this attempt starts it. */
   refuse (dispatch: Dispatch, holder: Instance, detail: string, now: number): TaskResult {
-    const entry = this.#write(dispatch, holder, LedgerState.Refused, now)
-    entry.outcome = TaskOutcome.NotStarted
-    entry.detail = detail
-    return resultOf(entry)
+    const record = this.#write(dispatch, holder, LedgerState.Refused, now)
+    record.outcome = TaskOutcome.NotStarted
+    record.detail = detail
+    return resultOf(record)
   }
 
-  /** Turns a waiting task into a refused one; undefined when it has started or is unknown. */
+  /** Marks a waiting task as refused; returns undefined when it has started or is unknown. */
   withdraw (number: number, detail: string, now: number): TaskResult | undefined {
-    const entry = this.#byNumber.get(number)
-    if (entry?.state !== LedgerState.Queued) return undefined
-    this.#byNumber.delete(number)
-    entry.state = LedgerState.Refused
-    entry.outcome = TaskOutcome.NotStarted
-    entry.detail = detail
-    entry.changedAt = now
-    return resultOf(entry)
+    const record = this.#unfinished.get(number)
+    if (record?.state !== LedgerState.Queued) return undefined
+    this.#unfinished.delete(number)
+    record.state = LedgerState.Refused
+    record.outcome = TaskOutcome.NotStarted
+    record.detail = detail
+    record.changedAt = now
+    return resultOf(record)
   }
 
   start (number: number, now: number): void {
-    const entry = this.#byNumber.get(number)
-    if (entry === undefined) return
-    entry.state = LedgerState.Running
-    entry.changedAt = now
+    const record = this.#unfinished.get(number)
+    if (record === undefined) return
+    record.state = LedgerState.Running
+    record.changedAt = now
   }
 
-  /** Writes the outcome down; the result and who is to be told, undefined for an unknown task. */
-  finish (number: number, ending: Omit<TaskResult, 'job' | 'index' | 'attempt'>, now: number): { holder: Instance, result: TaskResult } | undefined {
-    const entry = this.#byNumber.get(number)
-    if (entry === undefined) return undefined
-    this.#byNumber.delete(number)
-    entry.state = LedgerState.Finished
-    entry.outcome = ending.outcome
-    entry.detail = ending.detail
-    entry.runMilliseconds = ending.runMilliseconds
-    entry.changedAt = now
-    this.#holdPayload(entry, ending.payload)
-    return { holder: entry.holder, result: { ...entry.reference, ...ending } }
+  /** Records the outcome; returns the result and the entry to send it to, undefined for an unknown task. */
+  finish (number: number, completion: Omit<TaskResult, 'job' | 'index' | 'attempt'>, now: number): { holder: Instance, result: TaskResult } | undefined {
+    const record = this.#unfinished.get(number)
+    if (record === undefined) return undefined
+    this.#unfinished.delete(number)
+    record.state = LedgerState.Finished
+    record.outcome = completion.outcome
+    record.detail = completion.detail
+    record.runMilliseconds = completion.runMilliseconds
+    record.changedAt = now
+    this.#storePayload(record, completion.payload)
+    return { holder: record.holder, result: { ...record.reference, ...completion } }
   }
 
-  /** The outcome of a settled task, to be sent again. */
+  /** Outcome of a finished or refused task, to be sent again. */
   resultFor (job: JobKey, index: number): TaskResult | undefined {
-    const entry = this.#entries.get(taskKey(job, index))
-    return entry === undefined ? undefined : resultOf(entry)
+    const record = this.#entries.get(taskKey(job, index))
+    return record === undefined ? undefined : resultOf(record)
   }
 
-  /** The entry that runs the job now has dispatched this very attempt again: it is told the outcome. */
+  /** Makes `holder` the receiver of the outcome: it runs the job now and dispatched this same attempt again. */
   claim (dispatch: Dispatch, holder: Instance): void {
-    const entry = this.#entries.get(taskKey(dispatch.job, dispatch.index))
-    if (entry === undefined || entry.reference.attempt !== dispatch.attempt) return
-    entry.holder = holder
-    entry.handedOver = false
+    const record = this.#entries.get(taskKey(dispatch.job, dispatch.index))
+    if (record === undefined || record.reference.attempt !== dispatch.attempt) return
+    record.holder = holder
+    record.handedOver = false
   }
 
-  /** The entry that is told the outcome of a task. */
+  /** The entry that the outcome of a task is sent to. */
   holderOf (job: JobKey, index: number): Instance | undefined {
     return this.#entries.get(taskKey(job, index))?.holder
   }
 
   /** Number of a task that is waiting or running. */
   numberOf (reference: TaskReference): number | undefined {
-    const entry = this.#entries.get(taskKey(reference.job, reference.index))
-    if (entry === undefined || entry.reference.attempt !== reference.attempt) return undefined
-    return this.#byNumber.has(entry.number) ? entry.number : undefined
+    const record = this.#entries.get(taskKey(reference.job, reference.index))
+    if (record === undefined || record.reference.attempt !== reference.attempt) return undefined
+    return this.#unfinished.has(record.number) ? record.number : undefined
   }
 
-  /** The holder has the outcome: its bytes may go first when room is needed. */
+  /** The holder has received the outcome: its result is evicted first when space is needed. */
   acknowledge (reference: TaskReference): void {
-    const entry = this.#entries.get(taskKey(reference.job, reference.index))
-    if (entry === undefined) return
-    entry.acknowledged = true
+    const record = this.#entries.get(taskKey(reference.job, reference.index))
+    if (record === undefined) return
+    record.acknowledged = true
   }
 
-  /** Finished tasks whose holder has not confirmed the outcome. */
+  /** Finished and refused tasks whose outcome the holder has not confirmed. */
   unacknowledged (holder: Instance): TaskResult[] {
     const results: TaskResult[] = []
-    for (const entry of this.#entries.values()) {
-      if (entry.holder !== holder || entry.acknowledged) continue
-      if (entry.state !== LedgerState.Finished && entry.state !== LedgerState.Refused) continue
-      results.push(resultOf(entry))
+    for (const record of this.#entries.values()) {
+      if (record.holder !== holder || record.acknowledged) continue
+      if (record.state !== LedgerState.Finished && record.state !== LedgerState.Refused) continue
+      results.push(resultOf(record))
     }
     return results
   }
 
-  /** Whether every task in this state has been confirmed by its holder, for those that `counts`. */
-  allAcknowledged (state: LedgerState.Finished | LedgerState.Refused, counts: (holder: Instance) => boolean): boolean {
-    for (const entry of this.#entries.values()) {
-      if (entry.state === state && !entry.acknowledged && counts(entry.holder)) return false
+  /**
+   * Whether every task in this state has been confirmed by its holder, counting only holders for which `isRelevant`
+   * returns true.
+   */
+  allAcknowledged (state: LedgerState.Finished | LedgerState.Refused, isRelevant: (holder: Instance) => boolean): boolean {
+    for (const record of this.#entries.values()) {
+      if (record.state === state && !record.acknowledged && isRelevant(record.holder)) return false
     }
     return true
   }
 
-  /** Numbers of the tasks that wait for a slot and whose holder `concerns`. */
-  waitingOf (concerns: (holder: Instance) => boolean): number[] {
+  /** Numbers of the tasks that wait for a slot and whose holder `matches`. */
+  queuedNumbers (matches: (holder: Instance) => boolean): number[] {
     const numbers: number[] = []
-    for (const entry of this.#byNumber.values()) {
-      if (entry.state === LedgerState.Queued && concerns(entry.holder)) numbers.push(entry.number)
+    for (const record of this.#unfinished.values()) {
+      if (record.state === LedgerState.Queued && matches(record.holder)) numbers.push(record.number)
     }
     return numbers
   }
 
   /**
-   * Hands the lines of jobs that `holder` now owns over to it, who is told their outcomes from now
-   * on: those of entries that are `gone`, and those handed over before that nobody has claimed
-   * since, because the reply may have been lost, or the job ids have moved on.
+   * Transfers the records of jobs that `holder` now owns to it, and returns them; their outcomes are sent to it from
+   * now on.
+   *
+   * Includes records of removed entries, and records handed over earlier that nobody has claimed since: the earlier
+   * reply may have been lost, or the job ids may have moved to another entry.
    */
-  handOver (holder: Instance, owns: (job: JobKey) => boolean, gone: (holder: Instance) => boolean): LedgerLine[] {
+  handOver (holder: Instance, owns: (job: JobKey) => boolean, isRemoved: (holder: Instance) => boolean): LedgerLine[] {
     const lines: LedgerLine[] = []
-    for (const entry of this.#entries.values()) {
-      if (!owns(entry.reference.job) || !(entry.handedOver || gone(entry.holder))) continue
-      entry.holder = holder
-      entry.handedOver = true
-      entry.acknowledged = entry.state !== LedgerState.Running && entry.state !== LedgerState.Queued
-      lines.push(lineOf(entry))
+    for (const record of this.#entries.values()) {
+      if (!owns(record.reference.job) || !(record.handedOver || isRemoved(record.holder))) continue
+      record.holder = holder
+      record.handedOver = true
+      record.acknowledged = record.state !== LedgerState.Running && record.state !== LedgerState.Queued
+      lines.push(lineOf(record))
     }
     return lines
   }
 
-  /** Forgets settled tasks older than the retention. Entries lie in order of their last writing. */
+  /** Removes finished and refused tasks older than the retention time. Records are ordered by when they were added. */
   expire (now: number): void {
-    for (const [key, entry] of this.#entries) {
-      if (now - entry.changedAt <= this.#retention) return
-      if (this.#byNumber.has(entry.number)) continue
-      this.#dropPayload(entry)
+    for (const [key, record] of this.#entries) {
+      if (now - record.changedAt <= this.#retention) return
+      if (this.#unfinished.has(record.number)) continue
+      this.#dropPayload(record)
       this.#entries.delete(key)
     }
   }
 
-  #write (dispatch: Dispatch, holder: Instance, state: LedgerState, now: number): Entry {
+  #write (dispatch: Dispatch, holder: Instance, state: LedgerState, now: number): LedgerRecord {
     const key = taskKey(dispatch.job, dispatch.index)
-    const entry: Entry = {
+    const record: LedgerRecord = {
       number: this.#nextNumber,
       reference: { job: dispatch.job, index: dispatch.index, attempt: dispatch.attempt },
       state,
@@ -235,54 +245,54 @@
     }
     this.#nextNumber += 1
     this.#entries.delete(key)
-    this.#entries.set(key, entry)
-    if (state === LedgerState.Queued) this.#byNumber.set(entry.number, entry)
-    return entry
+    this.#entries.set(key, record)
+    if (state === LedgerState.Queued) this.#unfinished.set(record.number, record)
+    return record
   }
 
-  #holdPayload (entry: Entry, payload: Uint8Array): void {
-    entry.payload = payload
+  #storePayload (record: LedgerRecord, payload: Uint8Array): void {
+    record.payload = payload
     this.#payloadBytes += payload.byteLength
-    if (this.#payloadBytes > this.#payloadLimit) this.#makeRoom(entry)
+    if (this.#payloadBytes > this.#payloadLimit) this.#evictPayloads(record)
   }
 
-  /** Drops results, oldest first: those that their holder has, then any other but the newest. */
-  #makeRoom (newest: Entry): void {
+  /** Drops results, oldest first: acknowledged ones, then any other except the newest. */
+  #evictPayloads (newest: LedgerRecord): void {
     for (const onlyAcknowledged of [true, false]) {
-      for (const entry of this.#entries.values()) {
+      for (const record of this.#entries.values()) {
         if (this.#payloadBytes <= this.#payloadLimit) return
-        if (entry === newest || (onlyAcknowledged && !entry.acknowledged)) continue
-        this.#dropPayload(entry)
+        if (record === newest || (onlyAcknowledged && !record.acknowledged)) continue
+        this.#dropPayload(record)
       }
     }
   }
 
-  #dropPayload (entry: Entry): void {
-    if (entry.payload === undefined) return
-    this.#payloadBytes -= entry.payload.byteLength
-    entry.payload = undefined
+  #dropPayload (record: LedgerRecord): void {
+    if (record.payload === undefined) return
+    this.#payloadBytes -= record.payload.byteLength
+    record.payload = undefined
   }
 }
 
-/** A finished task whose result was dropped for want of room is told as one that may have run. */
-function resultOf (entry: Entry): TaskResult {
-  const lost = entry.outcome === TaskOutcome.Succeeded && entry.payload === undefined
+/** Outcome of a task. A successful task whose result was evicted is reported as one that may have run. */
+function resultOf (record: LedgerRecord): TaskResult {
+  const payloadEvicted = record.outcome === TaskOutcome.Succeeded && record.payload === undefined
   return {
-    ...entry.reference,
-    outcome: lost ? TaskOutcome.MayHaveRun : entry.outcome,
-    payload: entry.payload ?? NO_PAYLOAD,
-    detail: lost ? 'the task ran; its result is no longer held' : entry.detail,
-    runMilliseconds: entry.runMilliseconds
+    ...record.reference,
+    outcome: payloadEvicted ? TaskOutcome.MayHaveRun : record.outcome,
+    payload: record.payload ?? EMPTY_PAYLOAD,
+    detail: payloadEvicted ? 'the task ran; its result is no longer held' : record.detail,
+    runMilliseconds: record.runMilliseconds
   }
 }
 
-function lineOf (entry: Entry): LedgerLine {
+function lineOf (record: LedgerRecord): LedgerLine {
   return {
-    ...entry.reference,
-    state: entry.state,
-    outcome: entry.outcome,
-    payload: entry.payload ?? NO_PAYLOAD,
-    payloadHeld: entry.payload !== undefined,
-    detail: entry.detail
+    ...record.reference,
+    state: record.state,
+    outcome: record.outcome,
+    payload: record.payload ?? EMPTY_PAYLOAD,
+    payloadHeld: record.payload !== undefined,
+    detail: record.detail
   }
 }
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -1,7 +1,8 @@
 /**
- * Membership of the entries as one entry sees it: it joins and leaves by compare-and-swap on the
- * view in the store, asks the store to remove silent peers, and fences a peer without the store
- * when every other member found the peer's own address refusing connections.
+ * Membership of the entries as seen by one entry.
+ *
+ * It joins and leaves by compare-and-swap on the view in the store, and asks the store to remove unresponsive peers. It
+ * fences a peer without the store when every other member has found the peer's own address refusing connections.
  */
 import type { EntryGuards } from './entrycontext.ts'
 import type { EntryEffect } from './entrytypes.ts'
@@ -9,28 +10,28 @@
 import type { Instance, Member, View } from './messages.ts'
 import { EMPTY_VIEW, epochOf, isMember, liveMembers, mergeViews, withLeaving, withMember, withoutMembers } from './view.ts'
 
-/** Pause between the removal attempts of members of successive rank. */
+/** Delay between the removal attempts of members of successive rank. */
 const RANK_DELAY_MILLISECONDS = 150
-/** Time without a confirmation after which a woken entry goes on all the same: the store is down. */
-const RECHECK_PATIENCE_MILLISECONDS = 1500
-/** Silence of a peer, as a part of the time to suspicion, from which this entry may be the one cut off. */
-const DOUBT_PART = 0.75
-/** How old a confirmation by the store may be to stand for the contact with a silent peer. */
-const FRESH_CONFIRMATION_MILLISECONDS = 400
-/** Interval at which the store is read while a peer is silent. */
-const DOUBT_READ_MILLISECONDS = 200
-/** Silence of a peer, as a part of the time to suspicion, that two heartbeats on their way do not explain. */
-const QUIET_PART = 0.5
-/** Times the time to suspicion that an entry waits longer when most of the others look silent. */
-const MINORITY_PATIENCE = 3
-/** A write of which nothing is heard is taken as ended after this time. */
-const WRITE_PATIENCE_MILLISECONDS = 3000
+/** Time without a confirmation after which an entry that resumed from a pause continues anyway: the store is down. */
+const VIEW_RECHECK_TIMEOUT_MILLISECONDS = 1500
+/** Time without contact to a peer, as a fraction of the suspicion time, after which this entry may itself be isolated. */
+const POSSIBLE_ISOLATION_FRACTION = 0.75
+/** Maximum age of a confirmation by the store that makes up for missing contact with a peer. */
+const MAX_CONFIRMATION_AGE_MILLISECONDS = 400
+/** Interval at which the store is read while a peer does not respond. */
+const POSSIBLE_ISOLATION_READ_INTERVAL_MILLISECONDS = 200
+/** Time without contact, as a fraction of the suspicion time, that two delayed heartbeats do not explain. */
+const MISSED_CONTACT_FRACTION = 0.5
+/** Multiple of the suspicion time that an entry waits longer when most of the others do not respond. */
+const MINORITY_DELAY_FACTOR = 3
+/** A write without an outcome is considered finished after this time. */
+const WRITE_TIMEOUT_MILLISECONDS = 3000
 
 /** A refused connection to a peer. */
 interface Refusal {
   at: number
-  /** Whether the peer had been heard until shortly before. */
-  heardUntilThen: boolean
+  /** Whether the peer was in contact until shortly before. */
+  inContactBefore: boolean
 }
 
 export interface MembershipOptions {
@@ -38,7 +39,7 @@
   timings: Timings
   guards: EntryGuards
   emit: (effect: EntryEffect) => void
-  /** Tells every other member that this peer's address refuses connections. */
+  /** Informs every other member that this peer's address refuses connections. */
   announceRefused: (peer: Instance) => void
 }
 
@@ -48,26 +49,26 @@
   readonly #guards: EntryGuards
   readonly #emit: (effect: EntryEffect) => void
   readonly #announceRefused: (peer: Instance) => void
-  readonly #lastHeard = new Map<Instance, number>()
-  /** Since when each peer is heard without a long silence. */
+  readonly #lastContact = new Map<Instance, number>()
+  /** Start of the current period of contact with each peer, without a long gap. */
   readonly #contactSince = new Map<Instance, number>()
   /** Peers whose address refused a connection of this entry. */
-  readonly #refusing = new Map<Instance, Refusal>()
+  readonly #ownRefusals = new Map<Instance, Refusal>()
   readonly #refusedBy = new Map<Instance, Set<Instance>>()
   #view: View = EMPTY_VIEW
   #stored: View = EMPTY_VIEW
   #revision: number | undefined
   #confirmedAt = Number.NEGATIVE_INFINITY
   #writingSince: number | undefined
-  #lastRead = Number.NEGATIVE_INFINITY
-  #lastSeen: number | undefined
-  /** When this process woke from a pause, until it knows that it is still a member. */
-  #wokeAt: number | undefined
-  /** The highest version that others have spoken of. */
-  #highestHeard = 0
+  #lastReadAt = Number.NEGATIVE_INFINITY
+  #lastEventAt: number | undefined
+  /** When this process resumed from a pause, until its membership is confirmed again. */
+  #resumedAt: number | undefined
+  /** Highest view version that another process has reported. */
+  #highestReportedVersion = 0
   #joined = false
-  /** Whether an entry that was there before has told this one that it knows of it. */
-  #acquainted = false
+  /** Whether an entry that joined earlier has confirmed that this one is in its view. */
+  #knownToOthers = false
   #leaving = false
   #departing = false
 
@@ -88,7 +89,7 @@
     return isMember(this.#view, this.#self.instance)
   }
 
-  /** Whether this entry was a member and is none any more. */
+  /** Whether this entry was a member and no longer is. */
   get removed (): boolean {
     return this.#joined && !this.joined
   }
@@ -97,8 +98,8 @@
     return this.#departing
   }
 
-  /** Whether the view says that this entry owns no job ids any more. */
-  get leavingInForce (): boolean {
+  /** Whether the view marks this entry as leaving, so that it owns no job ids any more. */
+  get leavingPublished (): boolean {
     return this.#view.members.some(member => member.instance === this.#self.instance && member.leaving)
   }
 
@@ -108,57 +109,59 @@
   }
 
   /**
-   * An entry whose memory is complete has begun a view with this entry in it, or there is none.
-   * Until then the entries that were there before may stand on the far side of a cut with agents
-   * that have never heard of this one, and would go on for as long as they hear each other.
+   * Called when an entry with a complete memory has begun a view that contains this one, or when there is no such entry.
+   *
+   * Until then the entries that joined earlier may be partitioned away together with agents that have never been in
+   * contact with this entry. They would go on working for as long as they reach each other.
    */
-  acquaint (): void {
-    this.#acquainted = true
+  markKnownToOthers (): void {
+    this.#knownToOthers = true
   }
 
-  heard (peer: Instance, now: number): void {
-    const last = this.#lastHeard.get(peer)
+  noteContact (peer: Instance, now: number): void {
+    const last = this.#lastContact.get(peer)
     const first = last === undefined || !this.#contactSince.has(peer)
-    if (first || now - last > this.#timings.suspect * DOUBT_PART) this.#contactSince.set(peer, now)
-    this.#lastHeard.set(peer, now)
+    if (first || now - last > this.#timings.suspect * POSSIBLE_ISOLATION_FRACTION) this.#contactSince.set(peer, now)
+    this.#lastContact.set(peer, now)
   }
 
-  /** Another process has a view of this version. */
-  heardOf (version: number): void {
-    if (version <= this.#highestHeard) return
-    this.#highestHeard = version
+  /** Another process reports a view of this version. */
+  noteViewVersion (version: number): void {
+    if (version <= this.#highestReportedVersion) return
+    this.#highestReportedVersion = version
     if (version > this.#view.version) this.#emit({ type: 'readView' })
   }
 
   /**
-   * Sees time pass, before anything else is done at `now`. After a pause of this process every peer
-   * looks silent, though it was this one that did not listen: all are given their full time again.
-   * And this entry may have been removed meanwhile: it asks the store before it takes anything.
+   * Called before anything else is done at `now`, to detect a pause of this process.
+   *
+   * After a pause every peer appears unresponsive although it was this process that did not receive, so all of them get
+   * their full time again. This entry may also have been removed meanwhile: it reads the store before it accepts anything.
    */
-  observe (now: number): void {
-    const paused = this.#lastSeen !== undefined && now - this.#lastSeen > this.#timings.suspect / 2
-    this.#lastSeen = now
-    if (this.#wokeAt !== undefined && now - this.#wokeAt > RECHECK_PATIENCE_MILLISECONDS) this.#wokeAt = undefined
+  detectPause (now: number): void {
+    const paused = this.#lastEventAt !== undefined && now - this.#lastEventAt > this.#timings.suspect / 2
+    this.#lastEventAt = now
+    if (this.#resumedAt !== undefined && now - this.#resumedAt > VIEW_RECHECK_TIMEOUT_MILLISECONDS) this.#resumedAt = undefined
     if (!paused) return
-    for (const peer of this.#lastHeard.keys()) this.#lastHeard.set(peer, now)
-    this.#wokeAt = now
+    for (const peer of this.#lastContact.keys()) this.#lastContact.set(peer, now)
+    this.#resumedAt = now
     this.#emit({ type: 'readView' })
   }
 
-  /** Whether this process was paused and does not know yet what happened meanwhile. */
-  get waking (): boolean {
-    return this.#guards.inForce && this.#wokeAt !== undefined
+  /** Whether this process was paused and has not yet confirmed its membership. */
+  get resuming (): boolean {
+    return this.#guards.inForce && this.#resumedAt !== undefined
   }
 
   /**
-   * Whether this entry has reason to believe that no other has taken its job ids over. Only then
-   * may it say that a job was not run: to be removed, it must have been silent to some peer, which
-   * then is silent to it, or it hears of the newer view.
+   * Whether it is safe to assume that no other entry has taken over this one's job ids. Only then may this entry answer
+   * that a job was not run. For an entry to be removed, some peer must have lost contact with it. Then this entry has also
+   * lost contact with that peer, or receives the newer view.
    */
   inForce (now: number): boolean {
     if (!this.#guards.inForce) return true
-    if (!this.joined || this.waking || this.#highestHeard > this.#view.version) return false
-    return !this.#inDoubt(now) || this.confirmedAge(now) <= FRESH_CONFIRMATION_MILLISECONDS
+    if (!this.joined || this.resuming || this.#highestReportedVersion > this.#view.version) return false
+    return !this.#mayBeIsolated(now) || this.confirmedAge(now) <= MAX_CONFIRMATION_AGE_MILLISECONDS
   }
 
   /** Stops owning job ids with the next view. */
@@ -166,12 +169,12 @@
     this.#leaving = true
   }
 
-  /** Leaves the view: everything has been handed over. */
+  /** Leaves the view; called once everything has been handed over. */
   depart (): void {
     this.#departing = true
   }
 
-  /** Takes a view of a peer or an agent in; true when the members changed. */
+  /** Merges a view from a peer or an agent; returns true when the members changed. */
   merge (view: View): boolean {
     const before = epochOf(this.#view)
     this.#view = mergeViews(this.#view, view)
@@ -179,15 +182,15 @@
     return epochOf(this.#view) !== before
   }
 
-  /** Takes a read of the store in; an older view than one already acted on confirms nothing. */
+  /** Handles a view read from the store; a view older than one already acted on confirms nothing. */
   viewRead (view: View, revision: number, readStarted: number): boolean {
     if (view.version < this.#stored.version) return false
     this.#stored = view
     this.#revision = revision
     const changed = this.merge(view)
     if (view.version === this.#view.version) this.#confirmedAt = readStarted
-    if (this.#wokeAt !== undefined && readStarted >= this.#wokeAt) this.#wokeAt = undefined
-    const fenced = view.version === this.#view.version && this.#witnessOwn(({ at }) => readStarted >= at)
+    if (this.#resumedAt !== undefined && readStarted >= this.#resumedAt) this.#resumedAt = undefined
+    const fenced = view.version === this.#view.version && this.#countOwnRefusals(({ at }) => readStarted >= at)
     return changed || fenced
   }
 
@@ -197,37 +200,38 @@
   }
 
   /**
-   * A new connection to the peer's own address was refused: that process has ended. A process that
-   * is paused or cut off is silent instead, so silence never counts here. Before it counts, the
-   * store is asked: if it still names this entry, the dead peer can change that no more. If the
-   * store is down, the refusal counts only shortly after the peer was heard: after a longer silence
-   * the peer may have removed this entry and gone on with others that this view does not name.
+   * Handles a refused connection to the peer's own address, which means that its process has ended. A paused or
+   * partitioned process does not respond at all, so a missing response never counts here.
+   *
+   * Before a refusal counts, the store is read: if it still names this entry, the ended peer cannot change that any more.
+   * If the store is down, the refusal counts only shortly after contact with the peer. After a longer gap the peer may
+   * have removed this entry and continued with others that this view does not contain.
    */
   refused (peer: Instance, by: Instance, now: number): boolean {
     if (!isMember(this.#view, peer)) return false
-    if (by !== this.#self.instance) return this.#witnessed(peer, by)
-    if (this.#refusing.has(peer)) return false
-    this.#refusing.set(peer, { at: now, heardUntilThen: this.#heardUntil(peer, now) })
-    if (!this.#guards.refusal) return this.#witnessed(peer, by)
+    if (by !== this.#self.instance) return this.#addWitness(peer, by)
+    if (this.#ownRefusals.has(peer)) return false
+    this.#ownRefusals.set(peer, { at: now, inContactBefore: this.#hadSteadyContact(peer, now) })
+    if (!this.#guards.refusal) return this.#addWitness(peer, by)
     this.#emit({ type: 'readView' })
     return false
   }
 
-  /** The store cannot be read: refusals by peers that were heard until then count. */
+  /** The store cannot be read: only refusals by peers that were in contact until then count. */
   viewReadFailed (): boolean {
-    return this.#witnessOwn(({ heardUntilThen }) => heardUntilThen)
+    return this.#countOwnRefusals(({ inContactBefore }) => inContactBefore)
   }
 
-  #witnessOwn (counts: (refusal: Refusal) => boolean): boolean {
+  #countOwnRefusals (counts: (refusal: Refusal) => boolean): boolean {
     let fenced = false
-    for (const [peer, refusal] of this.#refusing) {
+    for (const [peer, refusal] of this.#ownRefusals) {
       if (!isMember(this.#view, peer) || !counts(refusal)) continue
-      if (this.#witnessed(peer, this.#self.instance)) fenced = true
+      if (this.#addWitness(peer, this.#self.instance)) fenced = true
     }
     return fenced
   }
 
-  #witnessed (peer: Instance, by: Instance): boolean {
+  #addWitness (peer: Instance, by: Instance): boolean {
     const witnesses = this.#refusedBy.get(peer) ?? new Set<Instance>()
     const first = !witnesses.has(by)
     witnesses.add(by)
@@ -237,34 +241,34 @@
   }
 
   /**
-   * Whether the peer was heard until now, and for some time: what a cut held back arrives all at
-   * once when it heals, and tells nothing of the time between.
+   * Whether the peer was in contact until now, and for some time. Messages held back by a partition arrive all at once
+   * when it heals and prove no contact in between.
    */
-  #heardUntil (peer: Instance, now: number): boolean {
-    if (this.waking || this.#highestHeard > this.#view.version) return false
+  #hadSteadyContact (peer: Instance, now: number): boolean {
+    if (this.resuming || this.#highestReportedVersion > this.#view.version) return false
     const { suspect } = this.#timings
-    const heardFor = now - (this.#contactSince.get(peer) ?? now)
-    return heardFor >= suspect && now - (this.#lastHeard.get(peer) ?? Number.NEGATIVE_INFINITY) <= suspect
+    const contactDuration = now - (this.#contactSince.get(peer) ?? now)
+    return contactDuration >= suspect && now - (this.#lastContact.get(peer) ?? Number.NEGATIVE_INFINITY) <= suspect
   }
 
   tick (now: number): void {
-    const interval = this.#inDoubt(now) ? DOUBT_READ_MILLISECONDS : this.#timings.viewRead
-    if (now - this.#lastRead >= interval) {
-      this.#lastRead = now
+    const interval = this.#mayBeIsolated(now) ? POSSIBLE_ISOLATION_READ_INTERVAL_MILLISECONDS : this.#timings.viewRead
+    if (now - this.#lastReadAt >= interval) {
+      this.#lastReadAt = now
       this.#emit({ type: 'readView' })
     }
-    this.#propose(now)
+    this.#proposeView(now)
   }
 
-  /** Whether this peer has been silent for too long. */
+  /** Whether this peer has been without contact for longer than the suspicion time. */
   suspects (peer: Instance, now: number): boolean {
-    if (this.#refusing.has(peer)) return true
-    const heard = this.#lastHeard.get(peer)
-    if (heard === undefined) {
-      this.#lastHeard.set(peer, now)
+    if (this.#ownRefusals.has(peer)) return true
+    const lastContact = this.#lastContact.get(peer)
+    if (lastContact === undefined) {
+      this.#lastContact.set(peer, now)
       return false
     }
-    return now - heard > this.#timings.suspect
+    return now - lastContact > this.#timings.suspect
   }
 
   #fenceWhenUnanimous (peer: Instance, witnesses: ReadonlySet<Instance>): boolean {
@@ -274,15 +278,15 @@
     return this.merge({ ...this.#view, fenced: [...this.#view.fenced, peer] })
   }
 
-  /** Whether some peer has been silent for so long that this entry may be the one cut off. */
-  #inDoubt (now: number): boolean {
-    const patience = this.#timings.suspect * DOUBT_PART
-    return liveMembers(this.#view).some(({ instance }) => instance !== this.#self.instance && now - (this.#lastHeard.get(instance) ?? now) > patience)
+  /** Whether some peer has not responded for so long that this entry may itself be isolated. */
+  #mayBeIsolated (now: number): boolean {
+    const timeout = this.#timings.suspect * POSSIBLE_ISOLATION_FRACTION
+    return liveMembers(this.#view).some(({ instance }) => instance !== this.#self.instance && now - (this.#lastContact.get(instance) ?? now) > timeout)
   }
 
-  #propose (now: number): void {
+  #proposeView (now: number): void {
     if (this.#revision === undefined || this.removed) return
-    if (this.#writingSince !== undefined && now - this.#writingSince < WRITE_PATIENCE_MILLISECONDS) return
+    if (this.#writingSince !== undefined && now - this.#writingSince < WRITE_TIMEOUT_MILLISECONDS) return
     const next = this.#nextView(now)
     if (next === undefined) return
     this.#writingSince = now
@@ -294,37 +298,38 @@
     if (this.#stored.version < this.#view.version) return undefined
     if (!this.#joined) return this.#leaving ? undefined : withMember(stored, this.#self)
     if (this.#departing) return withoutMembers(stored, [this.#self.instance])
-    const silent = this.#removable(now)
-    if (silent.length > 0) return withoutMembers(stored, silent)
+    const unresponsive = this.#removablePeers(now)
+    if (unresponsive.length > 0) return withoutMembers(stored, unresponsive)
     if (stored.members.length !== liveMembers(stored).length) return withoutMembers(stored, [])
-    if (this.#leaving && !this.leavingInForce) return withLeaving(stored, this.#self.instance)
+    if (this.#leaving && !this.leavingPublished) return withLeaving(stored, this.#self.instance)
     return undefined
   }
 
-  /** Silent peers that it is this entry's turn to have removed. */
-  #removable (now: number): Instance[] {
+  /** Unresponsive peers whose removal this entry is due to request. */
+  #removablePeers (now: number): Instance[] {
     const others = liveMembers(this.#view).filter(member => member.instance !== this.#self.instance)
-    const silent = others.filter(member => this.suspects(member.instance, now)).map(member => member.instance)
-    if (silent.length === 0) return []
-    const able = liveMembers(this.#view).map(member => member.instance).filter(instance => !silent.includes(instance))
-    const delay = able.indexOf(this.#self.instance) * RANK_DELAY_MILLISECONDS + this.#minorityDelay(others, now)
-    const acquainted = this.#acquainted || !this.#guards.acquaintance
-    const patience = acquainted ? this.#timings.suspect + delay : this.#timings.retention
-    return silent.filter(peer => this.#silentFor(peer, now) > patience)
+    const unresponsive = others.filter(member => this.suspects(member.instance, now)).map(member => member.instance)
+    if (unresponsive.length === 0) return []
+    const responsive = liveMembers(this.#view).map(member => member.instance).filter(instance => !unresponsive.includes(instance))
+    const delay = responsive.indexOf(this.#self.instance) * RANK_DELAY_MILLISECONDS + this.#minorityDelay(others, now)
+    const knownToOthers = this.#knownToOthers || !this.#guards.acquaintance
+    const timeout = knownToOthers ? this.#timings.suspect + delay : this.#timings.retention
+    return unresponsive.filter(peer => this.#timeSinceContact(peer, now) > timeout)
   }
 
   /**
-   * An entry that has lost most of the others is likelier to be the one cut off, and waits. It may
-   * also be deaf while the others hear it: it waits long enough for its silent links to be closed, so
-   * that the others miss it and remove it first. Alone in the view it would serve nobody.
+   * Extra time that an entry waits when most of the others do not respond, since it is then more likely to be the
+   * isolated one. It may also fail to receive while the others still receive from it: the delay is long enough for its
+   * unresponsive links to be closed, so that the others lose contact and remove it first. As the only entry in the view
+   * it would serve nobody.
    */
   #minorityDelay (others: readonly Member[], now: number): number {
-    const quiet = others.filter(member => this.#silentFor(member.instance, now) > this.#timings.suspect * QUIET_PART)
-    return quiet.length * 2 > others.length && others.length > 1 ? this.#timings.suspect * MINORITY_PATIENCE : 0
+    const missed = others.filter(member => this.#timeSinceContact(member.instance, now) > this.#timings.suspect * MISSED_CONTACT_FRACTION)
+    return missed.length * 2 > others.length && others.length > 1 ? this.#timings.suspect * MINORITY_DELAY_FACTOR : 0
   }
 
-  #silentFor (peer: Instance, now: number): number {
-    if (this.#refusing.has(peer)) return Number.POSITIVE_INFINITY
-    return now - (this.#lastHeard.get(peer) ?? now)
+  #timeSinceContact (peer: Instance, now: number): number {
+    if (this.#ownRefusals.has(peer)) return Number.POSITIVE_INFINITY
+    return now - (this.#lastContact.get(peer) ?? now)
   }
 }
--- a/packages/coordination/src/peerexchange.ts
+++ b/packages/coordination/src/peerexchange.ts
@@ -14,7 +14,7 @@
 import { handleMessage } from './messagehandlers.ts'
 import { isMember } from './view.ts'
 
-export interface PeerExchangeParts {
+export interface PeerExchangeDependencies {
   context: EntryContext
   links: EntryLinks
   membership: Membership
@@ -27,7 +27,7 @@
   hello: () => PeerMessage
   membersChanged: (now: number) => void
   /** A peer has told what it holds. */
-  memoryProgressed: (now: number) => void
+  memoryUpdated: (now: number) => void
 }
 
 export class PeerExchange {
@@ -42,16 +42,16 @@
   readonly #transfers: Transfers
   readonly #hello: () => PeerMessage
   readonly #membersChanged: (now: number) => void
-  readonly #memoryProgressed: (now: number) => void
+  readonly #memoryUpdated: (now: number) => void
 
   readonly #handlers: MessageHandlers<PeerMessage> = {
     hello: (peer, { view, configurationVersion }, now) => {
-      this.#adoption.stated(peer, configurationVersion)
+      this.#adoption.noteVersion(peer, configurationVersion)
       this.#merge(view, now)
     },
     heartbeat: (peer, { viewVersion, configurationVersion }) => {
-      this.#adoption.stated(peer, configurationVersion)
-      this.#membership.heardOf(viewVersion)
+      this.#adoption.noteVersion(peer, configurationVersion)
+      this.#membership.noteViewVersion(viewVersion)
       if (viewVersion < this.#membership.view.version) this.#sendHello(peer)
     },
     submit: (peer, { job, submission }, now) => this.#router.forwarded(job, { entry: peer, submission }, now),
@@ -67,8 +67,8 @@
     lookedUp: (peer, { job, submission, state, answer }) => this.#router.lookedUp(submission, job, state, answer),
     transfer: (peer, transfer, now) => {
       this.#merge(transfer.view, now)
-      this.#transfers.take(peer, transfer, now)
-      this.#memoryProgressed(now)
+      this.#transfers.receive(peer, transfer, now)
+      this.#memoryUpdated(now)
     },
     refused: (peer, { instance }, now) => {
       if (this.#membership.refused(instance, peer, now)) this.#membersChanged(now)
@@ -76,24 +76,24 @@
     configuration: (peer, { version, document }, now) => this.#configurations.received(version, document, now)
   }
 
-  constructor (parts: PeerExchangeParts) {
-    this.#context = parts.context
-    this.#links = parts.links
-    this.#membership = parts.membership
-    this.#adoption = parts.adoption
-    this.#configurations = parts.configurations
-    this.#receipts = parts.receipts
-    this.#jobs = parts.jobs
-    this.#router = parts.router
-    this.#transfers = parts.transfers
-    this.#hello = parts.hello
-    this.#membersChanged = parts.membersChanged
-    this.#memoryProgressed = parts.memoryProgressed
+  constructor (dependencies: PeerExchangeDependencies) {
+    this.#context = dependencies.context
+    this.#links = dependencies.links
+    this.#membership = dependencies.membership
+    this.#adoption = dependencies.adoption
+    this.#configurations = dependencies.configurations
+    this.#receipts = dependencies.receipts
+    this.#jobs = dependencies.jobs
+    this.#router = dependencies.router
+    this.#transfers = dependencies.transfers
+    this.#hello = dependencies.hello
+    this.#membersChanged = dependencies.membersChanged
+    this.#memoryUpdated = dependencies.memoryUpdated
   }
 
   connected (peer: Instance, now: number): void {
     this.#links.peerConnected(peer)
-    this.#membership.heard(peer, now)
+    this.#membership.noteContact(peer, now)
     this.#adoption.connected(peer, undefined, Responsibility.Watcher, now)
     this.#sendHello(peer)
     if (!this.#membership.joined) return
@@ -110,13 +110,13 @@
   }
 
   message (peer: Instance, message: PeerMessage, now: number): void {
-    if (this.#context.peerConnected(peer)) this.#membership.heard(peer, now)
-    if (!this.#obeys(peer, message)) return
+    if (this.#context.peerConnected(peer)) this.#membership.noteContact(peer, now)
+    if (!this.#accepts(peer, message)) return
     handleMessage(this.#handlers, peer, message, now)
   }
 
   /** Tells linked entries that are members no more of the view without them. */
-  greetRemoved (): void {
+  notifyRemovedPeers (): void {
     for (const peer of this.#links.peers) if (!isMember(this.#membership.view, peer)) this.#sendHello(peer)
   }
 
@@ -125,7 +125,7 @@
    * them: what it holds will not be handed over. Views are taken from anybody. This is a second line
    * of defence: no schedule of faults is known that only this check keeps from breaking a promise.
    */
-  #obeys (peer: Instance, message: PeerMessage): boolean {
+  #accepts (peer: Instance, message: PeerMessage): boolean {
     if (message.case === 'hello' || message.case === 'transfer') return true
     return isMember(this.#membership.view, peer)
   }
--- a/packages/coordination/src/plannedstop.ts
+++ b/packages/coordination/src/plannedstop.ts
@@ -4,11 +4,11 @@
 import type { Membership } from './membership.ts'
 
 /** How long a stopping entry goes on taking requests that were already on their way. */
-const LINGER_MILLISECONDS = 1000
+const IN_FLIGHT_GRACE_MILLISECONDS = 1000
 /** How long a stopping entry that has handed everything over waits to be removed from the view. */
-const DEPARTURE_PATIENCE_MILLISECONDS = 3000
+const DEPARTURE_TIMEOUT_MILLISECONDS = 3000
 
-export interface PlannedStopParts {
+export interface PlannedStopDependencies {
   context: EntryContext
   membership: Membership
   otherMembers: () => readonly Member[]
@@ -30,13 +30,13 @@
   #orderedAt: number | undefined
   #departingSince: number | undefined
 
-  constructor (parts: PlannedStopParts) {
-    this.#context = parts.context
-    this.#membership = parts.membership
-    this.#otherMembers = parts.otherMembers
-    this.#idle = parts.idle
-    this.#handOver = parts.handOver
-    this.#stop = parts.stop
+  constructor (dependencies: PlannedStopDependencies) {
+    this.#context = dependencies.context
+    this.#membership = dependencies.membership
+    this.#otherMembers = dependencies.otherMembers
+    this.#idle = dependencies.idle
+    this.#handOver = dependencies.handOver
+    this.#stop = dependencies.stop
   }
 
   get ordered (): boolean {
@@ -59,20 +59,20 @@
   tick (now: number): void {
     if (this.#orderedAt === undefined) return
     if (this.#departingSince !== undefined) {
-      if (now - this.#departingSince >= DEPARTURE_PATIENCE_MILLISECONDS) this.#stop()
+      if (now - this.#departingSince >= DEPARTURE_TIMEOUT_MILLISECONDS) this.#stop()
       return
     }
-    const lingered = now - this.#orderedAt >= LINGER_MILLISECONDS
-    if (!lingered || !this.#relieved() || !this.#idle()) return
+    const graceElapsed = now - this.#orderedAt >= IN_FLIGHT_GRACE_MILLISECONDS
+    if (!graceElapsed || !this.#canHandOver() || !this.#idle()) return
     this.#departingSince = now
     this.#handOver()
     this.#membership.depart()
   }
 
   /** Whether the others own this entry's job ids now, and each can be told what is known of them. */
-  #relieved (): boolean {
+  #canHandOver (): boolean {
     const others = this.#otherMembers()
-    if (others.length > 0 && !this.#membership.leavingInForce) return false
+    if (others.length > 0 && !this.#membership.leavingPublished) return false
     return others.every(member => this.#context.peerConnected(member.instance))
   }
 }
--- a/packages/coordination/src/policies.ts
+++ b/packages/coordination/src/policies.ts
@@ -48,12 +48,12 @@
 }
 
 function equalPart (target: Target, entries: number): number {
-  return Math.max(1, Math.floor(target.description.slots / entries + target.tie))
+  return Math.max(1, Math.floor(target.description.slots / entries + target.tieBreaker))
 }
 
 function ownLoad (target: Target, now: number): number {
   const slowness = target.health.slowness(now)
-  return ((target.outstanding + target.tie) / target.description.slots) * slowness * slowness + slowness - 1
+  return ((target.outstanding + target.tieBreaker) / target.description.slots) * slowness * slowness + slowness - 1
 }
 
 /** Expected wait, in parts of the slots' mean run time; own load decides where no wait is expected. */
@@ -61,7 +61,7 @@
   const { slots } = target.description
   const held = target.outstanding + target.othersLoad(now)
   const wait = Math.max(0, held + 1 - slots) / slots
-  return wait + target.health.slowness(now) - 1 + held * 1e-3 + target.tie * 1e-4
+  return wait + target.health.slowness(now) - 1 + held * 1e-3 + target.tieBreaker * 1e-4
 }
 
 /** The policies by name. */
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -71,11 +71,11 @@
  * they may have handed over what they know already.
  */
 export function backupsOf (key: JobKey, holder: Instance, members: readonly Member[]): Instance[] {
-  const home = members.find(member => member.instance === holder)?.dataCentre
+  const holderDataCentre = members.find(member => member.instance === holder)?.dataCentre
   const others = ranked(key, members).filter(member => member.instance !== holder)
-  const away = others.filter(member => member.dataCentre !== home)
-  const near = others.filter(member => member.dataCentre === home)
-  const ordered = [...away, ...near]
-  const lasting = [...ordered.filter(member => !member.leaving), ...ordered.filter(member => member.leaving)]
-  return lasting.map(member => member.instance)
+  const remote = others.filter(member => member.dataCentre !== holderDataCentre)
+  const local = others.filter(member => member.dataCentre === holderDataCentre)
+  const ordered = [...remote, ...local]
+  const stoppingLast = [...ordered.filter(member => !member.leaving), ...ordered.filter(member => member.leaving)]
+  return stoppingLast.map(member => member.instance)
 }
--- a/packages/coordination/src/router.ts
+++ b/packages/coordination/src/router.ts
@@ -8,16 +8,16 @@
 import type { Answer, Instance, Job, JobKey, JobState } from './messages.ts'
 import type { Receipts } from './receipts.ts'
 import type { Takeover } from './takeover.ts'
-import type { Waiting } from './waiting.ts'
+import type { WaitingJob } from './waitingjob.ts'
 import { NOT_READY_RETRY_MILLISECONDS } from './defaults.ts'
 import { answerWithout, isForgotten } from './execution.ts'
 import { Holders } from './holders.ts'
 import { AnswerKind, Cause } from './messages.ts'
-import { Questions } from './questions.ts'
-import { Taking } from './taking.ts'
-import { saysNotRun, unproved, unreached } from './unproved.ts'
+import { JobQueries } from './jobqueries.ts'
+import { JobIntake } from './jobintake.ts'
+import { saysNotRun, asMayHaveRun, ownerUnreachable } from './uncertainanswers.ts'
 import { isMember } from './view.ts'
-import { isAbandoned, newWaiting } from './waiting.ts'
+import { isAbandoned, newWaitingJob } from './waitingjob.ts'
 
 /** Pause before a request that found no holder is routed again, in milliseconds. */
 const REROUTE_MILLISECONDS = 100
@@ -45,9 +45,9 @@
   readonly #ready: () => boolean
   readonly #inForce: (now: number) => boolean
   readonly #holders: Holders
-  readonly #taking: Taking
-  readonly #questions: Questions
-  readonly #waiting = new Map<JobKey, Waiting>()
+  readonly #taking: JobIntake
+  readonly #questions: JobQueries
+  readonly #waiting = new Map<JobKey, WaitingJob>()
   #nextSubmission = 1
 
   constructor (parts: RouterParts) {
@@ -69,7 +69,7 @@
   submit (request: string, job: Job, now: number): void {
     const known = this.#waiting.get(job.key)
     if (known === undefined) {
-      const waiting = newWaiting(this.#newSubmission(), request, job, now)
+      const waiting = newWaitingJob(this.#newSubmission(), request, job, now)
       this.#waiting.set(job.key, waiting)
       this.#route(waiting, now)
       return
@@ -93,7 +93,7 @@
 
   /** A job that another entry forwards to this one. */
   forwarded (job: Job, from: Attachment, now: number): void {
-    this.#taking.take(job, from, now)
+    this.#taking.submit(job, from, now)
   }
 
   /** The answer of another entry, or of this one, to a request of this one. */
@@ -128,7 +128,7 @@
   /** Gives an answer to a request of this entry or of another. */
   reply (to: Attachment, job: JobKey, found: Answer, now: number): void {
     const doubtful = saysNotRun(found) && !this.#inForce(now)
-    const answer = doubtful ? unproved(found, 'another entry may have taken the job over') : found
+    const answer = doubtful ? asMayHaveRun(found, 'another entry may have taken the job over') : found
     if (to.entry !== this.#context.instance) {
       this.#context.sendPeer(to.entry, { case: 'answer', value: { job, submission: to.submission, answer } })
       return
@@ -154,7 +154,7 @@
 
   /** Looks at the parked jobs again. */
   unpark (now: number): void {
-    this.#taking.unpark(now)
+    this.#taking.retryParked(now)
   }
 
   tick (now: number): void {
@@ -199,9 +199,9 @@
     this.#questions.lookedUp({ entry: this.#context.instance, submission }, job, state, answer)
   }
 
-  #newTaking (parts: RouterParts): Taking {
+  #newTaking (parts: RouterParts): JobIntake {
     const { context, jobs, receipts, takeover, horizon, ready, settling } = parts
-    return new Taking({
+    return new JobIntake({
       context,
       jobs,
       receipts,
@@ -212,12 +212,12 @@
       settling,
       reply: (to, job, answer, now) => this.reply(to, job, answer, now),
       dropAbandoned: job => this.#dropAbandoned(this.#waiting.get(job)),
-      passOn: (job, holder, now) => this.#passOn(job, holder, now)
+      forward: (job, holder, now) => this.#passOn(job, holder, now)
     })
   }
 
-  #newQuestions ({ context, jobs, ready }: RouterParts): Questions {
-    return new Questions({
+  #newQuestions ({ context, jobs, ready }: RouterParts): JobQueries {
+    return new JobQueries({
       context,
       jobs,
       holders: this.#holders,
@@ -234,30 +234,30 @@
     return submission
   }
 
-  #route (waiting: Waiting, now: number): void {
+  #route (waiting: WaitingJob, now: number): void {
     if (this.#dropAbandoned(waiting)) return
     if (!this.#ready()) {
       waiting.rerouteAt = now + REROUTE_MILLISECONDS
       return
     }
-    const holder = this.#holders.elsewhere(waiting.job.key)
+    const holder = this.#holders.otherHolder(waiting.job.key)
     if (holder !== undefined) {
       this.#sendTo(waiting, holder, now)
       return
     }
     waiting.sentTo = this.#context.instance
     const job = { ...waiting.job, remainingMilliseconds: waiting.deadline - now }
-    this.#taking.take(job, { entry: this.#context.instance, submission: waiting.submission }, now)
+    this.#taking.submit(job, { entry: this.#context.instance, submission: waiting.submission }, now)
   }
 
   /** Entries that name each other for a moment, while a view spreads, are not asked ever faster. */
-  #routeLater (waiting: Waiting, now: number): void {
+  #routeLater (waiting: WaitingJob, now: number): void {
     waiting.sentTo = undefined
     waiting.rerouteAt = now + REROUTE_MILLISECONDS
   }
 
   /** Hands a job to another entry. This entry's receipt is the second memory of the job. */
-  #sendTo (waiting: Waiting, holder: Instance, now: number): void {
+  #sendTo (waiting: WaitingJob, holder: Instance, now: number): void {
     if (this.#dropAbandoned(waiting)) return
     waiting.sentTo = holder
     const job = { ...waiting.job, remainingMilliseconds: Math.max(0, waiting.deadline - now) }
@@ -273,7 +273,7 @@
   }
 
   /** Passes a job on no more when nobody waits for it; whether that is so. */
-  #dropAbandoned (waiting: Waiting | undefined): boolean {
+  #dropAbandoned (waiting: WaitingJob | undefined): boolean {
     if (waiting === undefined || !isAbandoned(waiting)) return false
     waiting.sentTo = undefined
     return true
@@ -290,33 +290,33 @@
   }
 
   #unknownNeverRan (job: JobKey): boolean {
-    return this.#takeover.unknownIsNew && this.#receipts.get(job) === undefined && this.#horizon() === 0
+    return this.#takeover.unknownJobsAreNew && this.#receipts.get(job) === undefined && this.#horizon() === 0
   }
 
-  #deliver (waiting: Waiting, from: Instance, answer: Answer): void {
+  #deliver (waiting: WaitingJob, from: Instance, answer: Answer): void {
     this.#waiting.delete(waiting.job.key)
     if (isForgotten(answer)) this.#receipts.drop(waiting.job.key, from)
     const doubtful = saysNotRun(answer) && !this.#provablyNotRun(waiting)
-    this.#answerAll(waiting, doubtful ? unproved(answer, 'an entry that had the job before may have run it') : answer)
+    this.#answerAll(waiting, doubtful ? asMayHaveRun(answer, 'an entry that had the job before may have run it') : answer)
   }
 
   /**
    * An earlier holder that has not answered may have run the job, unless it was removed and every
    * agent has said that it obeys that: "not run" is said only when it is provable.
    */
-  #provablyNotRun (waiting: Waiting): boolean {
+  #provablyNotRun (waiting: WaitingJob): boolean {
     if (waiting.unresolved.size === 0) return true
     const view = this.#context.view()
     const gone = [...waiting.unresolved].every(entry => !isMember(view, entry))
     return gone && this.#takeover.transfersComplete && this.#takeover.ledgersComplete
   }
 
-  #answerAll (waiting: Waiting, answer: Answer): void {
+  #answerAll (waiting: WaitingJob, answer: Answer): void {
     for (const request of waiting.requests) this.#context.emit({ type: 'answer', request, answer })
   }
 
-  #giveUp (waiting: Waiting): void {
+  #giveUp (waiting: WaitingJob): void {
     this.#waiting.delete(waiting.job.key)
-    this.#answerAll(waiting, unreached())
+    this.#answerAll(waiting, ownerUnreachable())
   }
 }
--- a/packages/coordination/src/takeover.ts
+++ b/packages/coordination/src/takeover.ts
@@ -1,27 +1,28 @@
 /**
- * Whether an entry's memory of its job ids is complete in the current epoch. Each change of members
- * moves job ids between entries, so the new owner first hears from every other member what it
- * holds, and from every agent what it started for entries that are gone.
+ * Tracks whether an entry knows everything about its job ids that other processes know, in the current epoch.
+ *
+ * Each change of members moves job ids between entries. The new owner first receives from every other member the jobs
+ * it holds, and from every agent the tasks it started for entries that are gone.
  */
 import type { Instance } from './messages.ts'
 import { CLOCK_RATE_MARGIN } from './defaults.ts'
 
 export interface TakeoverTimings {
-  /** Silence after which an agent counts as missing, in milliseconds. */
+  /** Time without contact after which an agent counts as lost, in milliseconds. */
   agentLost: number
-  /** How long a cut-off agent may go on starting tasks, in milliseconds. */
+  /** How long a disconnected agent may go on starting tasks, in milliseconds. */
   contact: number
 }
 
-/** What one epoch begins with. */
+/** State at the beginning of an epoch. */
 export interface TakeoverStart {
   epoch: string
-  /** The other members, each of which will send a transfer. */
+  /** The other members, each of which sends a transfer. */
   peers: readonly Instance[]
-  /** Agent runs that may have started something, with the time since which each is disconnected. */
+  /** Agent incarnations that may have started tasks, with the time since which each is disconnected. */
   agents: ReadonlyMap<Instance, number | undefined>
-  /** Whether two entries were lost without handing over while memories of the same job may be theirs. */
-  memoriesLost: boolean
+  /** Whether two entries were lost without a handover, so that both copies of a job's record may be gone. */
+  bothCopiesLost: boolean
   now: number
 }
 
@@ -29,13 +30,14 @@
 export class Takeover {
   readonly #timings: TakeoverTimings
   readonly #peers = new Set<Instance>()
-  /** Agents whose lines are awaited, with the time since which each is. */
+  /** Agents whose ledger records are awaited, with the time since which they are. */
   readonly #agents = new Map<Instance, number>()
+  /** Agents whose ledgers could not be read. */
   readonly #missing = new Set<Instance>()
   #epoch = ''
   #beganAt = 0
-  #memoriesLost = false
-  #lossTaken = false
+  #bothCopiesLost = false
+  #memoryLossConfirmed = false
 
   constructor (timings: TakeoverTimings) {
     this.#timings = timings
@@ -45,71 +47,71 @@
     return this.#epoch
   }
 
-  /** Agents whose ledger lines are awaited. */
+  /** Agents whose ledger records are awaited. */
   get awaitedAgents (): ReadonlyMap<Instance, number> {
     return this.#agents
   }
 
-  /** Every member has told what it holds: an unknown job id is unknown to all of them. */
+  /** Whether every member has sent the jobs it holds: a job id unknown here is unknown to all of them. */
   get transfersComplete (): boolean {
     return this.#peers.size === 0
   }
 
-  /** Whether this member has told what it holds: it takes nothing more of this entry's job ids. */
+  /** Whether this member has sent the jobs it holds. After that it accepts no more of this entry's job ids. */
   hasTransferred (peer: Instance): boolean {
     return !this.#peers.has(peer)
   }
 
-  /** Every agent has answered or is given up. */
+  /** Whether every agent has answered or timed out. */
   get recallEnded (): boolean {
     return this.#agents.size === 0
   }
 
-  /** Every agent has answered: what no ledger names was never started by an entry that is gone. */
+  /** Whether every agent has answered: a task that no ledger contains was never started by an entry that is gone. */
   get ledgersComplete (): boolean {
     return this.recallEnded && this.#missing.size === 0
   }
 
-  /** Both memories of a job may be gone. */
-  noteMemoriesLost (): void {
-    this.#memoriesLost = true
+  /** Records that both copies of a job's record may be gone. */
+  noteBothCopiesLost (): void {
+    this.#bothCopiesLost = true
   }
 
   /**
-   * True once an epoch: memories are gone that no ledger replaces, nothing more will come in, and
-   * an agent that stays silent, cut off from this entry, has stopped starting tasks. Until the loss
-   * is taken, no unknown job id is new.
+   * Returns true once per epoch, when job records are lost for good: they were lost with an agent whose ledger cannot
+   * replace them, no further transfer or ledger is expected, and an agent that does not respond because it is
+   * disconnected from this entry has stopped starting tasks. Until the loss is confirmed, no unknown job id is new.
    */
-  takeMemoryLoss (now: number): boolean {
-    if (this.#lossTaken || !this.#memoriesLost || this.#missing.size === 0) return false
+  confirmMemoryLoss (now: number): boolean {
+    if (this.#memoryLossConfirmed || !this.#bothCopiesLost || this.#missing.size === 0) return false
     const isolated = now - this.#beganAt >= this.#timings.contact * (1 + CLOCK_RATE_MARGIN)
-    this.#lossTaken = this.transfersComplete && this.recallEnded && isolated
-    return this.#lossTaken
+    this.#memoryLossConfirmed = this.transfersComplete && this.recallEnded && isolated
+    return this.#memoryLossConfirmed
   }
 
   begin (start: TakeoverStart): void {
     this.#epoch = start.epoch
     this.#beganAt = start.now
-    this.#memoriesLost = start.memoriesLost
-    this.#lossTaken = false
+    this.#bothCopiesLost = start.bothCopiesLost
+    this.#memoryLossConfirmed = false
     this.#peers.clear()
     this.#agents.clear()
     this.#missing.clear()
     for (const peer of start.peers) this.#peers.add(peer)
-    for (const [agent, disconnectedAt] of start.agents) this.#await(agent, disconnectedAt, start.now)
+    for (const [agent, disconnectedAt] of start.agents) this.#awaitLedger(agent, disconnectedAt, start.now)
   }
 
   transferred (peer: Instance, epoch: string): void {
     if (epoch === this.#epoch) this.#peers.delete(peer)
   }
 
-  /** An agent run that only another entry knew of. */
-  learned (agent: Instance, disconnectedAt: number | undefined, now: number): void {
-    this.#await(agent, disconnectedAt, now)
+  /** Adds an agent incarnation that only another entry had recorded. */
+  addAgent (agent: Instance, disconnectedAt: number | undefined, now: number): void {
+    this.#awaitLedger(agent, disconnectedAt, now)
   }
 
-  /** Nobody remembers which agents there were before: their ledgers cannot be read. */
-  forgotten (agents: Instance): void {
+  /** Records that it is not known which agents existed before, so that their ledgers cannot be read. */
+  addUnknownAgents (agents: Instance): void {
     this.#missing.add(agents)
   }
 
@@ -120,13 +122,13 @@
   }
 
   /**
-   * Whether an unknown job id may be taken as new. With both memories of a job possibly gone, that
-   * takes every ledger, or the horizon that stands for the ones that stay silent.
+   * Whether an unknown job id may be accepted as new. If both copies of a job's record may be lost, this requires
+   * every ledger, or a raised horizon that covers the agents that did not respond.
    */
-  get unknownIsNew (): boolean {
+  get unknownJobsAreNew (): boolean {
     if (!this.transfersComplete) return false
-    if (!this.#memoriesLost) return true
-    return this.recallEnded && (this.#missing.size === 0 || this.#lossTaken)
+    if (!this.#bothCopiesLost) return true
+    return this.recallEnded && (this.#missing.size === 0 || this.#memoryLossConfirmed)
   }
 
   tick (now: number): void {
@@ -137,10 +139,10 @@
     }
   }
 
-  /** An agent that was gone before the epoch began is not waited for again. */
-  #await (agent: Instance, disconnectedAt: number | undefined, now: number): void {
-    const gone = disconnectedAt !== undefined && now - disconnectedAt >= this.#timings.agentLost
-    if (gone) this.#missing.add(agent)
+  /** An agent that was lost before the epoch began is not waited for again. */
+  #awaitLedger (agent: Instance, disconnectedAt: number | undefined, now: number): void {
+    const alreadyLost = disconnectedAt !== undefined && now - disconnectedAt >= this.#timings.agentLost
+    if (alreadyLost) this.#missing.add(agent)
     else this.#agents.set(agent, now)
   }
 }
--- a/packages/coordination/src/target.ts
+++ b/packages/coordination/src/target.ts
@@ -9,7 +9,7 @@
   readonly description: TargetDescription
   readonly health: TargetHealth
   /** In [0, 1): sends the odd tasks of different entries to different targets. */
-  readonly tie: number
+  readonly tieBreaker: number
   report: TargetReport
   up = true
   drained = false
@@ -19,68 +19,68 @@
   memoryMegabytes = 0
   #fullUntil = -Infinity
   /** Tasks of ours that it held when it refused a further one. */
-  #heldWhenFull = Infinity
+  #outstandingWhenFull = Infinity
   #reportedAt: number
-  #ownWhenReported = 0
-  #sinceReport = 0
+  #outstandingWhenReported = 0
+  #changeSinceReport = 0
   /** Last sign of life while it had tasks of ours. */
-  #activeAt: number
+  #lastActiveAt: number
   /** Expected run time of what is outstanding. */
   #work = 0
 
-  constructor (agent: Instance, description: TargetDescription, report: TargetReport, health: TargetHealth, tie: number, now: number) {
+  constructor (agent: Instance, description: TargetDescription, report: TargetReport, health: TargetHealth, tieBreaker: number, now: number) {
     this.agent = agent
     this.description = description
     this.report = report
     this.health = health
-    this.tie = tie
+    this.tieBreaker = tieBreaker
     this.#reportedAt = now
-    this.#activeAt = now
+    this.#lastActiveAt = now
   }
 
   noteReport (report: TargetReport, now: number): void {
     this.report = report
     this.#reportedAt = now
-    this.#ownWhenReported = this.outstanding
-    this.#sinceReport = 0
+    this.#outstandingWhenReported = this.outstanding
+    this.#changeSinceReport = 0
     this.#fullUntil = -Infinity
   }
 
   /** It refused a task for want of room: it gets no more than it holds for a while, or until it reports. */
   noteFull (now: number): void {
     this.#fullUntil = now + FULL_MILLISECONDS
-    this.#heldWhenFull = this.outstanding
+    this.#outstandingWhenFull = this.outstanding
   }
 
   noteDispatch (needs: TaskNeeds, estimate: number, now: number): void {
-    if (this.outstanding === 0) this.#activeAt = now
+    if (this.outstanding === 0) this.#lastActiveAt = now
     this.outstanding += 1
-    this.#sinceReport += 1
+    this.#changeSinceReport += 1
     this.accelerators += needs.accelerators
     this.memoryMegabytes += needs.memoryMegabytes
     this.#work += estimate
   }
 
   /** `alive` tells whether the target itself gave a sign of life with it. */
-  noteSettled (needs: TaskNeeds, estimate: number, alive: boolean, now: number): void {
+  noteSettled (needs: TaskNeeds, estimate: number, active: boolean, now: number): void {
     this.#work -= estimate
     this.outstanding -= 1
-    this.#sinceReport -= 1
+    this.#changeSinceReport -= 1
     this.accelerators -= needs.accelerators
     this.memoryMegabytes -= needs.memoryMegabytes
-    if (alive) this.#activeAt = now
+    if (active) this.#lastActiveAt = now
   }
 
   /** Load as last reported and what this entry did since, per slot. */
   reportedLoad (): number {
     const { running, queued } = this.report
-    return (running + queued + this.#sinceReport) / this.description.slots
+    return (running + queued + this.#changeSinceReport) / this.description.slots
   }
 
   /** What other entries hold here, as last reported; the older the report, the less it counts. */
   othersLoad (now: number): number {
     const { running, queued } = this.report
-    const others = Math.max(0, running + queued - this.#ownWhenReported)
+    const others = Math.max(0, running + queued - this.#outstandingWhenReported)
     return others * 2 ** (-(now - this.#reportedAt) / REPORT_HALF_LIFE_MILLISECONDS)
   }
 
@@ -95,12 +95,12 @@
    * for a hang; the next outcome ends it.
    */
   silent (now: number): boolean {
-    return this.outstanding > (this.health.onProbation ? 0 : 1) && now >= this.#silentAt()
+    return this.outstanding > (this.health.onProbation ? 0 : 1) && now >= this.#unresponsiveAt()
   }
 
-  hasRoom (limit: number, now: number): boolean {
+  hasCapacity (limit: number, now: number): boolean {
     if (!this.usable || this.silent(now)) return false
-    const held = now < this.#fullUntil ? this.#heldWhenFull : Infinity
+    const held = now < this.#fullUntil ? this.#outstandingWhenFull : Infinity
     return this.outstanding < Math.min(limit, held, this.health.limit())
   }
 
@@ -115,13 +115,13 @@
     if (!this.up) return undefined
     if (this.health.trust === Trust.Ejected) return this.health.probeAt
     if (this.#fullUntil > now) return this.#fullUntil
-    const silentAt = this.outstanding > 0 && this.#silentAt() > now ? this.#silentAt() : Infinity
+    const unresponsiveAt = this.outstanding > 0 && this.#unresponsiveAt() > now ? this.#unresponsiveAt() : Infinity
     const reviewAt = this.health.slowness(now) > 1 ? now + SLOWNESS_REVIEW_MILLISECONDS : Infinity
-    const next = Math.min(silentAt, reviewAt)
+    const next = Math.min(unresponsiveAt, reviewAt)
     return next === Infinity ? undefined : next
   }
 
-  #silentAt (): number {
-    return this.#activeAt + Math.max(HANG_MILLISECONDS, HANG_RUNS * this.#work / Math.max(1, this.outstanding))
+  #unresponsiveAt (): number {
+    return this.#lastActiveAt + Math.max(HANG_MILLISECONDS, HANG_RUNS * this.#work / Math.max(1, this.outstanding))
   }
 }
--- a/packages/coordination/src/targets.ts
+++ b/packages/coordination/src/targets.ts
@@ -174,7 +174,7 @@
     const pool = this.#pool(target.description)
     this.#count(target, pool)
     const limit = this.#policy.limit(target, this.#entries, now)
-    if (target.hasRoom(limit, now)) pool.available.set(target, this.#policy.rank(target, now))
+    if (target.hasCapacity(limit, now)) pool.available.set(target, this.#policy.rank(target, now))
     else pool.available.delete(target)
     const change = target.nextChange(now)
     if (change === undefined) this.#wakeUps.delete(target)
--- a/packages/coordination/src/transfers.ts
+++ b/packages/coordination/src/transfers.ts
@@ -1,23 +1,23 @@
-/** What entries tell each other of the jobs that they hold or have receipts of, when members change. */
+/** Exchanges between entries, when members change, of the jobs that they hold or have receipts of. */
 import type { AgentLinks } from './agentlinks.ts'
 import type { EntryContext } from './entrycontext.ts'
 import type { Jobs } from './jobs.ts'
 import type { Instance, Member, Receipt, Transfer } from './messages.ts'
-import type { RangeMemory } from './rangememory.ts'
+import type { JobMemory } from './jobmemory.ts'
 import type { Receipts } from './receipts.ts'
 import type { Takeover } from './takeover.ts'
 import { handoverOf, isHandover, receiptsOfJobs } from './handover.ts'
 import { backupsOf, ownerOf } from './rendezvous.ts'
 import { epochOf, isMember } from './view.ts'
 
-export interface TransfersParts {
+export interface TransfersDependencies {
   context: EntryContext
   jobs: Jobs
   receipts: Receipts
   agents: AgentLinks
   takeover: Takeover
-  memory: RangeMemory
-  /** Members of the epoch that was begun last. */
+  memory: JobMemory
+  /** Members of the epoch that began last. */
   members: () => readonly Member[]
 }
 
@@ -27,29 +27,28 @@
   readonly #receipts: Receipts
   readonly #agents: AgentLinks
   readonly #takeover: Takeover
-  readonly #memory: RangeMemory
+  readonly #memory: JobMemory
   readonly #members: () => readonly Member[]
 
-  constructor (parts: TransfersParts) {
-    this.#context = parts.context
-    this.#jobs = parts.jobs
-    this.#receipts = parts.receipts
-    this.#agents = parts.agents
-    this.#takeover = parts.takeover
-    this.#memory = parts.memory
-    this.#members = parts.members
+  constructor (dependencies: TransfersDependencies) {
+    this.#context = dependencies.context
+    this.#jobs = dependencies.jobs
+    this.#receipts = dependencies.receipts
+    this.#agents = dependencies.agents
+    this.#takeover = dependencies.takeover
+    this.#memory = dependencies.memory
+    this.#members = dependencies.members
   }
 
   /**
-   * Tells a peer which of the job ids it now owns are known here, and which jobs held here it is to
-   * remember as well: the second memory of a job may have gone with the last change of members, or
-   * there was nobody to keep it.
+   * Sends a peer the job ids it now owns that are known here, and the jobs held here whose backup receipt it is to keep.
+   * The earlier backup may have been lost with the last change of members, or there was no entry to keep one.
    */
   send (peer: Instance): void {
     const receipts: Receipt[] = []
     for (const { key, digest } of this.#jobs.values()) {
-      const concerned = ownerOf(key, this.#members()) === peer || backupsOf(key, this.#context.instance, this.#members())[0] === peer
-      if (concerned) receipts.push({ job: key, digest, executor: this.#context.instance })
+      const relevant = ownerOf(key, this.#members()) === peer || backupsOf(key, this.#context.instance, this.#members())[0] === peer
+      if (relevant) receipts.push({ job: key, digest, executor: this.#context.instance })
     }
     for (const { job, digest, executor } of this.#receipts.values()) {
       if (ownerOf(job, this.#members()) === peer) receipts.push({ job, digest, executor })
@@ -57,7 +56,7 @@
     this.#context.sendPeer(peer, { case: 'transfer', value: this.#transfer(receipts) })
   }
 
-  /** Gives every memory held here to the entries that stay. */
+  /** Hands all job records held here over to the remaining entries. */
   handOver (remaining: readonly Member[]): void {
     const handover = handoverOf({
       self: this.#context.instance,
@@ -68,24 +67,24 @@
     for (const [peer, receipts] of handover) this.#context.sendPeer(peer, { case: 'transfer', value: this.#transfer(receipts) })
   }
 
-  /** Takes the transfer of a peer in; its view has been merged before. */
-  take (peer: Instance, transfer: Transfer, now: number): void {
-    this.#memory.learn(transfer, now)
+  /** Handles the transfer of a peer, whose view has already been merged. */
+  receive (peer: Instance, transfer: Transfer, now: number): void {
+    this.#memory.mergeLosses(transfer, now)
     for (const agent of transfer.agents) {
-      if (this.#agents.learn(agent, now)) this.#takeover.learned(agent, undefined, now)
+      if (this.#agents.addReported(agent, now)) this.#takeover.addAgent(agent, undefined, now)
     }
     const receipts = receiptsOfJobs(transfer.receipts)
     const epoch = epochOf(transfer.view)
     if (epoch === this.#takeover.epoch) {
-      this.#dropDenied(peer, receipts)
+      this.#dropOmitted(peer, receipts)
       if (transfer.complete) this.#memory.peerComplete()
     }
-    for (const receipt of receipts) this.#keep(peer, receipt, now)
+    for (const receipt of receipts) this.#keepReceipt(peer, receipt, now)
     if (isHandover(transfer.receipts)) this.#memory.handedOver(peer)
     this.#takeover.transferred(peer, epoch)
   }
 
-  /** Keeps receipts, for their new owners, of jobs of lost entries whose ids are not this entry's any more. */
+  /** Converts jobs of lost entries whose ids this entry no longer owns to receipts for their new owners. */
   releaseOrphans (now: number): void {
     if (!this.#context.guards.release) return
     const released = this.#jobs.releaseOrphans(job => ownerOf(job, this.#members()) === this.#context.instance)
@@ -95,16 +94,16 @@
   }
 
   /**
-   * A member that has begun this epoch takes nothing more of this entry's job ids, so what it does
-   * not name it does not hold: a receipt that still names it is of a job that it passed on.
+   * Drops receipts that name `peer` for jobs it did not list. A member that has begun this epoch accepts no more of this
+   * entry's job ids, so a job it does not list is not held there: it has passed the job on.
    */
-  #dropDenied (peer: Instance, receipts: readonly Receipt[]): void {
+  #dropOmitted (peer: Instance, receipts: readonly Receipt[]): void {
     const held = new Set(receipts.filter(receipt => receipt.executor === peer).map(receipt => receipt.job))
     this.#receipts.dropStale(peer, job => !held.has(job) && ownerOf(job, this.#members()) === this.#context.instance)
   }
 
-  #keep (peer: Instance, receipt: Receipt, now: number): void {
-    if (receipt.executor !== peer && this.#deniedBy(receipt)) return
+  #keepReceipt (peer: Instance, receipt: Receipt, now: number): void {
+    if (receipt.executor !== peer && this.#isOmittedByExecutor(receipt)) return
     if (receipt.answer !== undefined) {
       this.#receipts.delete(receipt.job)
       this.#jobs.adoptAnswered(receipt.job, receipt.digest, receipt.answer, now)
@@ -117,8 +116,8 @@
     this.#receipts.keep(receipt, now)
   }
 
-  /** A member that names for itself what it holds of this entry's job ids does not name this job. */
-  #deniedBy ({ job, executor }: Receipt): boolean {
+  /** Whether the executor is a member that has listed what it holds of this entry's job ids, without this job. */
+  #isOmittedByExecutor ({ job, executor }: Receipt): boolean {
     if (ownerOf(job, this.#members()) !== this.#context.instance) return false
     return isMember(this.#context.view(), executor) && this.#takeover.hasTransferred(executor)
   }
--- a/packages/coordination/src/unproved.ts
+++ b/packages/coordination/src/uncertainanswers.ts
@@ -10,7 +10,7 @@
 }
 
 /** A refusal that is not provable. */
-export function unproved (answer: Answer, reason: string): Answer {
+export function asMayHaveRun (answer: Answer, reason: string): Answer {
   return { ...answer, kind: AnswerKind.MayHaveRun, detail: `${answer.detail}; ${reason}` }
 }
 
@@ -18,7 +18,7 @@
  * The entry that owns the job was not reached in time. This request started nothing, but an
  * earlier submission of the same id, through another entry, may have: "not run" would be a guess.
  */
-export function unreached (): Answer {
+export function ownerUnreachable (): Answer {
   const detail = 'the entry that owns this job id could not be reached: submit the same job id again later'
   return answerWithout(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, detail, NOT_READY_RETRY_MILLISECONDS)
 }
--- a/packages/coordination/src/confirmation.ts
+++ b/packages/coordination/src/viewconfirmation.ts
@@ -17,7 +17,7 @@
   confirmedAgeMilliseconds: number
 }
 
-export class Confirmation {
+export class ViewConfirmation {
   readonly #contact: number
   readonly #repliedAt = new Map<Instance, number>()
   #confirmedVersion = 0
--- a/packages/coordination/src/waiting.ts
+++ b/packages/coordination/src/waitingjob.ts
@@ -2,7 +2,7 @@
 import type { Instance, Job } from './messages.ts'
 
 /** A job that callers of this entry wait for. */
-export interface Waiting {
+export interface WaitingJob {
   job: Job
   submission: string
   requests: Set<string>
@@ -15,7 +15,7 @@
   redirects: number
 }
 
-export function newWaiting (submission: string, request: string, job: Job, now: number): Waiting {
+export function newWaitingJob (submission: string, request: string, job: Job, now: number): WaitingJob {
   return {
     job,
     submission,
@@ -29,6 +29,6 @@
 }
 
 /** Nobody waits for the answer any more. */
-export function isAbandoned (waiting: Waiting): boolean {
+export function isAbandoned (waiting: WaitingJob): boolean {
   return waiting.requests.size === 0
 }
--- a/packages/coordination/test/adoption.test.ts
+++ b/packages/coordination/test/adoption.test.ts
@@ -1,9 +1,9 @@
-/** The version in force only rises, and the document goes to peers that are behind, once. */
+/** The version in force only rises, and the document is sent once to peers that are behind. */
 import { test } from 'node:test'
 import { expect } from 'earl'
 import * as fc from 'fast-check'
 import type { AdoptionOptions, VersionedDocument } from '../src/adoption.ts'
-import { ConfigurationAdoption, PeerChoice, Responsibility } from '../src/adoption.ts'
+import { ConfigurationAdoption, PeerSelection, Responsibility } from '../src/adoption.ts'
 
 function versioned (version: number): VersionedDocument {
   return { version, document: Uint8Array.of(version) }
@@ -13,29 +13,28 @@
   return new ConfigurationAdoption({ random: () => 0, patienceMilliseconds: 500, ...options })
 }
 
-/** Runs offers of versions and returns which of them were adopted. */
+/** Offers the versions in order and returns which of them were adopted. */
 function adopted (versions: number[]): boolean[] {
   const subject = adoption()
   return versions.map((version) => subject.offer(versioned(version), 0))
 }
 
 const OFFERS = [
-  { story: 'the first version', versions: [3], taken: [true] },
-  { story: 'the same version again', versions: [3, 3], taken: [true, false] },
-  { story: 'a stale answer of the store', versions: [3, 2, 4], taken: [true, false, true] },
-  { story: 'the empty store after a loss', versions: [3, 0], taken: [true, false] },
-  { story: 'a version that skips some', versions: [3, 9], taken: [true, true] }
+  { title: 'the first version', versions: [3], taken: [true] },
+  { title: 'the same version again', versions: [3, 3], taken: [true, false] },
+  { title: 'a stale answer from the store', versions: [3, 2, 4], taken: [true, false, true] },
+  { title: 'an empty store after data loss', versions: [3, 0], taken: [true, false] },
+  { title: 'a version that skips others', versions: [3, 9], taken: [true, true] }
 ]
 
-for (const { story, versions, taken } of OFFERS) {
-  test(`offers: ${story}`, () => {
+for (const { title, versions, taken } of OFFERS) {
+  test(`offers: ${title}`, () => {
     expect(adopted(versions)).toEqual(taken)
   })
 }
 
-// An operator moves a share and a second later the old share is back on one entry. The watch has
-// delivered version 4; a read that was sent earlier, or went to a replica that lags, then answers
-// with version 3. Taking the latest answer instead of the highest version reverts the apply.
+// The watch has delivered version 4. A read that was sent earlier, or that went to a lagging replica, then answers with
+// version 3. Adopting the latest answer instead of the highest version would revert the apply on one entry.
 test('a stale answer leaves the document in force', () => {
   const subject = adoption()
   subject.offer(versioned(4), 0)
@@ -44,7 +43,7 @@
 })
 
 interface SendCase {
-  story: string
+  title: string
   stated: number
   responsibility: Responsibility
   at: number
@@ -52,17 +51,17 @@
 }
 
 const SENDS: SendCase[] = [
-  { story: 'an own peer that is behind, at once', stated: 1, responsibility: Responsibility.Own, at: 0, sent: ['agent-1#1'] },
-  { story: 'nothing to a peer that has it', stated: 2, responsibility: Responsibility.Own, at: 0, sent: [] },
-  { story: 'nothing to a peer that is ahead', stated: 3, responsibility: Responsibility.Own, at: 0, sent: [] },
-  { story: 'nothing yet to a peer of another instance', stated: 1, responsibility: Responsibility.Other, at: 499, sent: [] },
-  { story: 'nothing yet to a peer that watches the store', stated: 1, responsibility: Responsibility.Watcher, at: 49, sent: [] },
-  { story: 'a peer that watches the store after the grace', stated: 1, responsibility: Responsibility.Watcher, at: 50, sent: ['agent-1#1'] },
-  { story: 'a peer of another instance after the patience', stated: 1, responsibility: Responsibility.Other, at: 500, sent: ['agent-1#1'] }
+  { title: 'a peer of this instance that is behind, at once', stated: 1, responsibility: Responsibility.Own, at: 0, sent: ['agent-1#1'] },
+  { title: 'nothing to a peer that has the version', stated: 2, responsibility: Responsibility.Own, at: 0, sent: [] },
+  { title: 'nothing to a peer that is ahead', stated: 3, responsibility: Responsibility.Own, at: 0, sent: [] },
+  { title: 'nothing yet to a peer of another instance', stated: 1, responsibility: Responsibility.Other, at: 499, sent: [] },
+  { title: 'nothing yet to a peer that watches the store', stated: 1, responsibility: Responsibility.Watcher, at: 49, sent: [] },
+  { title: 'a peer that watches the store after the grace time', stated: 1, responsibility: Responsibility.Watcher, at: 50, sent: ['agent-1#1'] },
+  { title: 'a peer of another instance after the fallback delay', stated: 1, responsibility: Responsibility.Other, at: 500, sent: ['agent-1#1'] }
 ]
 
-for (const { story, stated, responsibility, at, sent } of SENDS) {
-  test(`sends: ${story}`, () => {
+for (const { title, stated, responsibility, at, sent } of SENDS) {
+  test(`sends: ${title}`, () => {
     const subject = adoption()
     subject.connected('agent-1#1', stated, responsibility, 0)
     subject.offer(versioned(2), 0)
@@ -76,14 +75,14 @@
   subject.offer(versioned(1), 0)
   expect(subject.due(0)).toEqual(['agent-1#1'])
   expect(subject.due(1000)).toEqual([])
-  subject.stated('agent-1#1', 0)
+  subject.noteVersion('agent-1#1', 0)
   expect(subject.due(2000)).toEqual([])
   subject.offer(versioned(2), 3000)
   expect(subject.due(3000)).toEqual(['agent-1#1'])
 })
 
-// An agent's link breaks while the document is on its way, and the agent serves the old shares for
-// good: the entry believes that it has sent the document. A new link must begin without that belief.
+// A link breaks while the document is in flight. If the entry still counted it as sent, the agent would keep the old
+// shares. A new link must start without a sent version.
 test('a document lost with its link is sent over the next', () => {
   const subject = adoption()
   subject.connected('agent-1#1', 0, Responsibility.Own, 0)
@@ -94,9 +93,9 @@
   expect(subject.due(10)).toEqual(['agent-1#1'])
 })
 
-// The instance responsible for an agent dies right after it adopted. Nobody sends the document to the
-// agent until the membership has changed, unless the others step in by themselves.
-test('a peer that becomes an own one is sent the document at once', () => {
+// The instance responsible for an agent stops right after it adopted a version. Nobody would send the document to the
+// agent until the membership has changed, unless the others send it after a delay.
+test('a peer that this instance becomes responsible for is sent the document at once', () => {
   const subject = adoption()
   subject.connected('agent-1#1', 0, Responsibility.Other, 0)
   subject.offer(versioned(1), 0)
@@ -105,23 +104,23 @@
   expect(subject.due(2)).toEqual(['agent-1#1'])
 })
 
-// Entries at rest lose the links to one of them. Each end takes the other for one without any
-// version until its greeting has come: 22 documents of 29 kB cross the links of 12 entries for nothing.
-test('a link whose peer has stated nothing yet is sent nothing', () => {
+// Idle entries lose the links to one of them and reconnect. If a peer without a reported version counted as behind,
+// 22 documents of 29 kB would cross the links of 12 entries needlessly.
+test('nothing is sent over a link until the peer has reported a version', () => {
   const subject = adoption()
   subject.offer(versioned(2), 0)
   subject.connected('entry-2#1', undefined, Responsibility.Own, 9000)
   expect({ due: subject.due(9000), behind: subject.behind() }).toEqual({ due: [], behind: [] })
-  subject.stated('entry-2#1', 2)
+  subject.noteVersion('entry-2#1', 2)
   expect(subject.due(9001)).toEqual([])
   subject.connected('entry-3#1', undefined, Responsibility.Own, 9002)
-  subject.stated('entry-3#1', 1)
+  subject.noteVersion('entry-3#1', 1)
   expect(subject.due(9003)).toEqual(['entry-3#1'])
 })
 
-// An agent starts long after the last change and states that it has nothing. The entry responsible
-// sends the version, and so do all others at once: their patience has been over since the change.
-test('the patience for a new link begins with the link', () => {
+// An agent starts long after the last change and reports version 0. If the delay counted from the change, all entries
+// would send the document at once, not only the responsible one.
+test('the fallback delay for a new link counts from the start of the link', () => {
   const subject = adoption()
   subject.offer(versioned(1), 0)
   subject.connected('agent-1#1', 0, Responsibility.Other, 9000)
@@ -129,26 +128,26 @@
   expect(subject.due(9500)).toEqual(['agent-1#1'])
 })
 
-test('laggards are the peers that have not stated the version', () => {
+test('peers are behind until they report the version', () => {
   const subject = adoption()
   subject.connected('agent-1#1', 1, Responsibility.Own, 0)
   subject.connected('agent-2#1', 2, Responsibility.Own, 0)
   subject.offer(versioned(2), 0)
   subject.due(0)
   expect(subject.behind()).toEqual(['agent-1#1'])
-  subject.stated('agent-1#1', 2)
+  subject.noteVersion('agent-1#1', 2)
   expect(subject.behind()).toEqual([])
 })
 
-test('random choice draws any peer while one is behind', () => {
-  const subject = adoption({ choice: PeerChoice.Random, roundMilliseconds: 100 })
+test('random selection selects any peer while one is behind', () => {
+  const subject = adoption({ choice: PeerSelection.Random, roundMilliseconds: 100 })
   subject.connected('agent-1#1', 1, Responsibility.Own, 0)
   subject.connected('agent-2#1', 0, Responsibility.Own, 0)
   subject.offer(versioned(1), 0)
   expect(subject.due(0)).toEqual(['agent-1#1'])
   expect(subject.due(99)).toEqual([])
   expect(subject.due(100)).toEqual(['agent-1#1'])
-  subject.stated('agent-2#1', 1)
+  subject.noteVersion('agent-2#1', 1)
   expect(subject.due(200)).toEqual([])
 })
 
@@ -167,14 +166,14 @@
   fc.record({ kind: fc.constant('turn' as const), node, deliver: fc.boolean() })
 )
 
-/** A few instances with links that lose what is on its way when they are cut. */
+/** Several instances whose links lose messages in flight when they are cut. */
 class Fleet {
   readonly nodes: ConfigurationAdoption[]
   readonly versions: number[][] = []
   readonly #links = new Set<string>()
   #now = 0
 
-  constructor (choice: PeerChoice, random: () => number) {
+  constructor (choice: PeerSelection, random: () => number) {
     this.nodes = Array.from({ length: NODES }, () => adoption({ choice, random }))
   }
 
@@ -198,7 +197,7 @@
     this.nodes[from]?.disconnected(String(to))
   }
 
-  /** Sends what is due. What is not delivered is lost with its link, as on a stream. */
+  /** Sends the due documents. An undelivered document is lost together with its link, as on a stream. */
   turn (from: number, deliver: boolean): void {
     const sender = this.nodes[from] as ConfigurationAdoption
     for (const peer of sender.due(this.#now)) {
@@ -207,12 +206,12 @@
     }
   }
 
-  /** Links everybody, lets versions be stated and runs until nothing changes any more. */
+  /** Links all instances, exchanges the reported versions and runs until nothing changes any more. */
   settle (): void {
     for (let round = 0; round < 200; round++) {
       this.#now += 1000
       this.#everyPair((from, to) => this.link(from, to))
-      this.#everyPair((from, to) => this.nodes[from]?.stated(String(to), this.nodes[to]?.inForce.version ?? 0))
+      this.#everyPair((from, to) => this.nodes[from]?.noteVersion(String(to), this.nodes[to]?.inForce.version ?? 0))
       this.nodes.forEach((_, index) => this.turn(index, true))
     }
   }
@@ -224,8 +223,8 @@
   }
 }
 
-for (const choice of Object.values(PeerChoice)) {
-  test(`no instance goes back and all converge, ${choice}`, () => {
+for (const choice of Object.values(PeerSelection)) {
+  test(`no instance returns to an older version and all converge, ${choice}`, () => {
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), fc.integer(), (steps, seed) => {
       let state = seed >>> 0
       const fleet = new Fleet(choice, () => {
--- a/packages/coordination/test/agent.test.ts
+++ b/packages/coordination/test/agent.test.ts
@@ -35,7 +35,7 @@
   return { case: 'heartbeatReply', value: { sent, viewVersion, confirmedAgeMilliseconds } }
 }
 
-/** An agent that is connected to the entries a and b of view 1. */
+/** An agent connected to the entries a and b of view 1. */
 function connectedAgent (): Agent {
   const target = { target: 'x', provider: 'p', services: ['service'], slots: 1, accelerators: 0, memoryMegabytes: 1024, dataCentre: '', rack: '' }
   const agent = new Agent({ instance: 'x#1', target, slots: new Slots(SLOTS), timings: DEFAULT_TIMINGS })
@@ -63,27 +63,27 @@
   return effects.flatMap(effect => effect.type === 'sendEntry' && effect.message.case === 'result' ? [effect.message.value.outcome] : [])
 }
 
-test('a dispatch of a member starts', () => {
+test('a dispatch from a member starts', () => {
   expect(starts(from(servingAgent(), 'a', dispatch('job'), 10))).toEqual(['job'])
 })
 
-// A job runs twice. A new agent takes a task from the only entry that it has reached; that entry
-// dies, and the others, which have never heard of the agent, read every ledger that they know.
+// A job would run twice: a new agent takes a task from the only entry it has reached, that entry is lost, and the others,
+// which have never been in contact with the agent, read only the ledgers they know of.
 test('a new agent starts nothing before every entry of its view has answered it', () => {
   const agent = connectedAgent()
   from(agent, 'a', reply(0, 0), 1)
   expect(outcomes(from(agent, 'a', dispatch('job'), 10))).toEqual([TaskOutcome.NotStarted])
 })
 
-// A job runs twice. An entry is paused past its lease and removed; it wakes and dispatches from its
-// old queue to an agent that has adopted the view without it.
-test('a dispatch of an entry that was removed is refused', () => {
+// A job would run twice: an entry is paused past its lease and removed, then resumes and dispatches from its old queue
+// to an agent that has adopted the view without it.
+test('a dispatch from a removed entry is refused', () => {
   const agent = servingAgent()
   from(agent, 'b', { case: 'view', value: { view: view(2, 'b') } }, 5)
   expect(outcomes(from(agent, 'a', dispatch('job'), 10))).toEqual([TaskOutcome.NotStarted])
 })
 
-test('what waits here for an entry is refused for good when the entry is removed', () => {
+test('waiting tasks of an entry are refused permanently when the entry is removed', () => {
   const agent = servingAgent()
   from(agent, 'a', dispatch('first'), 10)
   from(agent, 'a', dispatch('second'), 11)
@@ -92,13 +92,13 @@
   expect(starts(agent.handle({ type: 'taskEnded', task: 1, ...ended }, 20))).toEqual([])
 })
 
-// An agent dies and is replaced beside the same target while its task still runs. A dispatch meant
-// for the first run reaches the second, whose ledger is empty.
-test('a dispatch for another run of the agent is ignored', () => {
+// An agent is replaced beside the same target while its task still runs. A dispatch meant for the old incarnation reaches
+// the new one, whose ledger is empty.
+test('a dispatch for another incarnation of the agent is ignored', () => {
   expect(starts(from(servingAgent(), 'a', dispatch('job', 'x#0'), 10))).toEqual([])
 })
 
-// A cut leaves an entry and an agent together on the far side, while the near side takes over.
+// A partition isolates one entry and one agent together, while the other side takes over.
 test('an agent without a confirmed view and without one of its entries starts nothing', () => {
   const agent = servingAgent()
   from(agent, 'a', reply(2400, 9999), 2401)
@@ -106,20 +106,20 @@
   expect(outcomes(from(agent, 'a', dispatch('after'), 2600))).toEqual([TaskOutcome.NotStarted])
 })
 
-test('an agent goes on without the store while every entry answers', () => {
+test('an agent continues without the store while every entry answers', () => {
   const agent = servingAgent()
   for (const entry of ['a', 'b']) from(agent, entry, reply(60_000, 60_000), 60_001)
   expect(starts(from(agent, 'a', dispatch('job'), 60_010))).toEqual(['job'])
 })
 
-test('an agent goes on without a lost entry while the store confirms the view', () => {
+test('an agent continues without a lost entry while the store confirms the view', () => {
   const agent = servingAgent()
   from(agent, 'a', reply(60_000, 500), 60_001)
   expect(starts(from(agent, 'a', dispatch('job'), 60_010))).toEqual(['job'])
 })
 
-// A job runs twice. An agent has adopted a newer view than the entry that asks it for the lines of a
-// lost one; the lines belong to a third entry by then, and the asker takes "none" for "never started".
+// A job would run twice: the agent has adopted a newer view than the entry that recalls the records of a lost entry. They
+// belong to a third entry by then, and the asking entry would take an empty answer as "never started".
 test('the answer to a recall names the epoch that the agent is in', () => {
   const agent = servingAgent()
   from(agent, 'b', { case: 'view', value: { view: view(3, 'b', 'c') } }, 5)
@@ -132,20 +132,21 @@
   return effects.some(({ type }) => type === 'stopped')
 }
 
-/** An agent whose stop was ordered at 10 and that has sent its heartbeats at 20. */
+/** An agent whose stop was ordered at 10 and that sent its heartbeats at 20. */
 function stoppingAgent (agent = servingAgent()): Agent {
   agent.handle({ type: 'stopOrdered' }, 10)
   agent.handle({ type: 'tick' }, 20)
   return agent
 }
 
-test('a planned stop ends once every entry knows of it', () => {
+test('a planned stop ends once every entry has acknowledged it', () => {
   const agent = stoppingAgent()
   expect(hasStopped(from(agent, 'a', reply(20, 0), 21))).toEqual(false)
   expect(hasStopped(from(agent, 'b', reply(20, 0), 21))).toEqual(true)
 })
 
-// Guards against a task answered as lost that never began: its entry sends it again over the next link, and finds nobody.
+// A task that never started would be answered as lost: its entry sends it again over the next link, after the agent has
+// stopped.
 test('a planned stop waits for an entry whose link is down', () => {
   const agent = servingAgent()
   agent.handle({ type: 'entryDisconnected', entry: 'b' }, 9)
@@ -157,7 +158,7 @@
   expect(hasStopped(from(agent, 'b', reply(30, 0), 33))).toEqual(true)
 })
 
-// Guards against the same when the refusal is lost with the process that ends.
+// Same failure, when the refusal is lost because the process ends too early.
 test('a planned stop waits until its refusals have arrived', () => {
   const agent = stoppingAgent()
   expect(outcomes(from(agent, 'a', dispatch('job'), 20))).toEqual([TaskOutcome.NotStarted])
@@ -167,14 +168,14 @@
   expect(hasStopped(from(agent, 'a', acknowledge, 22))).toEqual(true)
 })
 
-test('a planned stop does not wait for ever for an entry that is not heard of', () => {
+test('a planned stop does not wait indefinitely for an entry that does not respond', () => {
   const agent = stoppingAgent()
   from(agent, 'a', reply(20, 0), 21)
   expect(hasStopped(agent.handle({ type: 'tick' }, 3009))).toEqual(false)
   expect(hasStopped(agent.handle({ type: 'tick' }, 3010))).toEqual(true)
 })
 
-// Guards against a new run that gets tasks only to refuse them, and is taken for one that cannot be reached.
+// A new incarnation would receive tasks only to refuse them, and count as unreachable.
 test('an agent that is not known to every entry yet reports that it takes no work', () => {
   const reports = (effects: AgentEffect[]): boolean[] => effects.flatMap(effect => {
     if (effect.type !== 'sendEntry') return []
--- a/packages/coordination/test/membership.test.ts
+++ b/packages/coordination/test/membership.test.ts
@@ -14,12 +14,12 @@
   return { version, members, fenced: [] }
 }
 
-interface Setting {
+interface Fixture {
   membership: Membership
   effects: EntryEffect[]
 }
 
-function memberOf (...instances: string[]): Setting {
+function createMember (...instances: string[]): Fixture {
   const effects: EntryEffect[] = []
   const membership = new Membership({
     self: { instance: 'a', address: '', dataCentre: '', leaving: false },
@@ -28,61 +28,61 @@
     emit: effect => effects.push(effect),
     announceRefused: () => {}
   })
-  membership.observe(0)
+  membership.detectPause(0)
   membership.viewRead(view(1, ...instances), 1, 0)
   return { membership, effects }
 }
 
-/** Time passes from `from` to `until`, with a heartbeat of each of `heard` at every tick. */
-function pass ({ membership }: Setting, from: number, until: number, ...heard: string[]): void {
+/** Advances the clock from `from` to `until`, with a heartbeat of each peer in `inContact` at every tick. */
+function advance ({ membership }: Fixture, from: number, until: number, ...inContact: string[]): void {
   for (let now = from; now <= until; now += TICK) {
-    membership.observe(now)
-    for (const peer of heard) membership.heard(peer, now)
+    membership.detectPause(now)
+    for (const peer of inContact) membership.noteContact(peer, now)
     membership.tick(now)
   }
 }
 
-function written (setting: Setting): string[][] {
-  return setting.effects.flatMap(effect => effect.type === 'writeView' ? [effect.view.members.map(member => member.instance)] : [])
+function writtenMembers (fixture: Fixture): string[][] {
+  return fixture.effects.flatMap(effect => effect.type === 'writeView' ? [effect.view.members.map(member => member.instance)] : [])
 }
 
-test('a silent peer is removed from the view after its time', () => {
-  const setting = memberOf('a', 'b', 'c')
-  setting.membership.acquaint()
-  pass(setting, 0, 1000, 'c')
-  expect(written(setting)).toEqual([])
-  pass(setting, 1200, 2000, 'c')
-  expect(written(setting)[0]).toEqual(['a', 'c'])
+test('an unresponsive peer is removed from the view after the suspicion time', () => {
+  const fixture = createMember('a', 'b', 'c')
+  fixture.membership.markKnownToOthers()
+  advance(fixture, 0, 1000, 'c')
+  expect(writtenMembers(fixture)).toEqual([])
+  advance(fixture, 1200, 2000, 'c')
+  expect(writtenMembers(fixture)[0]).toEqual(['a', 'c'])
 })
 
-// A job runs twice. Every old entry is cut off from the store, with its agents, and goes on, as it
-// must when the store is down. A new entry joins by the store, hears nobody, and removes them all;
-// agents on the far side have never heard of it and never stop.
-test('a newcomer that no older entry knows removes no silent entry', () => {
-  const setting = memberOf('a', 'b')
-  pass(setting, 0, 8000)
-  expect(written(setting)).toEqual([])
-  setting.membership.acquaint()
-  pass(setting, 8200, 10_000)
-  expect(written(setting)[0]).toEqual(['a'])
+// A job would run twice: all older entries and their agents are cut off from the store and continue, as they must when the
+// store is down. A new entry joins through the store, receives nothing from them and removes them all. Their agents have
+// never been in contact with the new entry and never stop.
+test('a new entry that no older entry knows removes no unresponsive entry', () => {
+  const fixture = createMember('a', 'b')
+  advance(fixture, 0, 8000)
+  expect(writtenMembers(fixture)).toEqual([])
+  fixture.membership.markKnownToOthers()
+  advance(fixture, 8200, 10_000)
+  expect(writtenMembers(fixture)[0]).toEqual(['a'])
 })
 
-// Both entries of a pair are removed at once. One is paused for five seconds; when it wakes, the
-// other looks silent, though it was the sleeper that did not listen.
-test('after a pause of its own an entry gives its peers their full time again', () => {
-  const setting = memberOf('a', 'b')
-  setting.membership.acquaint()
-  pass(setting, 0, 400, 'b')
-  pass(setting, 5400, 6200)
-  expect(written(setting)).toEqual([])
+// One entry of a pair is paused for five seconds. When it resumes, the other appears unresponsive although the paused
+// entry did not receive, and both would be removed at once.
+test('after its own pause an entry gives its peers their full time again', () => {
+  const fixture = createMember('a', 'b')
+  fixture.membership.markKnownToOthers()
+  advance(fixture, 0, 400, 'b')
+  advance(fixture, 5400, 6200)
+  expect(writtenMembers(fixture)).toEqual([])
 })
 
-// A caller is told "not run" of a job that ran. An entry is paused past its time, another takes its
-// jobs over, and the first thing that it does when woken is to refuse what has queued up.
-test('a woken entry is not in force before the store has named it again', () => {
-  const { membership } = memberOf('a')
+// A caller would receive "not run" for a job that ran: an entry is paused past its time, another takes over its jobs,
+// and the first refuses its queued requests when it resumes.
+test('an entry that resumes is not in force before the store confirms it as a member', () => {
+  const { membership } = createMember('a')
   expect(membership.inForce(100)).toEqual(true)
-  membership.observe(5000)
+  membership.detectPause(5000)
   expect(membership.inForce(5000)).toEqual(false)
   membership.viewRead(view(1, 'a'), 1, 4000)
   expect(membership.inForce(5001)).toEqual(false)
@@ -90,56 +90,56 @@
   expect(membership.inForce(5001)).toEqual(true)
 })
 
-test('an entry that hears of a newer view is not in force before it has read it', () => {
-  const { membership } = memberOf('a', 'b')
-  membership.heardOf(2)
+test('an entry that receives a newer view version is not in force before it has read that view', () => {
+  const { membership } = createMember('a', 'b')
+  membership.noteViewVersion(2)
   expect(membership.inForce(10)).toEqual(false)
   membership.viewRead(view(2, 'a', 'b'), 2, 10)
   expect(membership.inForce(11)).toEqual(true)
 })
 
-test('a dead entry is fenced without the store when every other found its address refusing', () => {
-  const setting = memberOf('a', 'b', 'c')
-  pass(setting, 0, 2000, 'b', 'c')
-  setting.membership.refused('c', 'a', 2000)
-  setting.membership.viewReadFailed()
-  expect(isMember(setting.membership.view, 'c')).toEqual(true)
-  setting.membership.refused('c', 'b', 2010)
-  expect(isMember(setting.membership.view, 'c')).toEqual(false)
+test('an ended entry is fenced without the store when its address refuses connections of every other entry', () => {
+  const fixture = createMember('a', 'b', 'c')
+  advance(fixture, 0, 2000, 'b', 'c')
+  fixture.membership.refused('c', 'a', 2000)
+  fixture.membership.viewReadFailed()
+  expect(isMember(fixture.membership.view, 'c')).toEqual(true)
+  fixture.membership.refused('c', 'b', 2010)
+  expect(isMember(fixture.membership.view, 'c')).toEqual(false)
 })
 
-// A job runs twice. An entry is cut off and removed; the entry that went on without it dies, the
-// cut heals, and the first finds the other's address refusing and takes over by its old view.
-test('a refusal after a long silence fences nobody while the store is down', () => {
-  const setting = memberOf('a', 'b')
-  pass(setting, 0, 1000, 'b')
-  pass(setting, 1200, 4000)
-  setting.membership.refused('b', 'a', 4000)
-  setting.membership.viewReadFailed()
-  expect(isMember(setting.membership.view, 'b')).toEqual(true)
+// A job would run twice: an entry is cut off and removed, then the entry that continued without it ends. When the
+// partition heals, the first finds the other's address refusing and takes over by its old view.
+test('a refusal after a long time without contact fences nobody while the store is down', () => {
+  const fixture = createMember('a', 'b')
+  advance(fixture, 0, 1000, 'b')
+  advance(fixture, 1200, 4000)
+  fixture.membership.refused('b', 'a', 4000)
+  fixture.membership.viewReadFailed()
+  expect(isMember(fixture.membership.view, 'b')).toEqual(true)
 })
 
-// As above, but what the cut held back arrives all at once when it heals, just before the refusal.
-test('a burst of held-back messages is no contact', () => {
-  const setting = memberOf('a', 'b')
-  pass(setting, 0, 1000, 'b')
-  pass(setting, 1200, 4000)
-  setting.membership.heard('b', 4000)
-  setting.membership.refused('b', 'a', 4001)
-  setting.membership.viewReadFailed()
-  expect(isMember(setting.membership.view, 'b')).toEqual(true)
+// Same failure, when the messages held back by the partition arrive all at once just before the refusal.
+test('a burst of delayed messages does not count as contact', () => {
+  const fixture = createMember('a', 'b')
+  advance(fixture, 0, 1000, 'b')
+  advance(fixture, 1200, 4000)
+  fixture.membership.noteContact('b', 4000)
+  fixture.membership.refused('b', 'a', 4001)
+  fixture.membership.viewReadFailed()
+  expect(isMember(fixture.membership.view, 'b')).toEqual(true)
 })
 
-// The view change that removed an entry took effect and its answer was lost. The writer reads the
-// view back rather than writing again on top of what it believes.
+// A view change took effect but its answer was lost. The writer must read the view back instead of writing again on top of
+// its old one.
 test('a write of unknown outcome is followed by a read', () => {
-  const { membership, effects } = memberOf('a')
+  const { membership, effects } = createMember('a')
   membership.viewWritten()
   expect(effects.at(-1)).toEqual({ type: 'readView' })
 })
 
 test('an older view that the store returns late changes nothing', () => {
-  const { membership } = memberOf('a', 'b')
+  const { membership } = createMember('a', 'b')
   membership.viewRead(view(3, 'a'), 3, 10)
   expect(membership.viewRead(view(2, 'a', 'b'), 2, 20)).toEqual(false)
   expect(membership.view.version).toEqual(3)
