--- a/packages/coordination/src/adoption.ts
+++ b/packages/coordination/src/adoption.ts
@@ -1,8 +1,8 @@
 /**
  * Which version of the configuration is in force on one instance, and which peers it is sent to.
  *
- * Versions only rise. Peers report the version they have in force in messages that are sent anyway, so the document goes
- * only to a peer that is known to be behind, once per version and link.
+ * Versions only rise. Peers report the version they have in force in messages that are sent anyway, so the document
+ * goes only to a peer that is known to be behind, once per version and link.
  */
 import type { Instance } from './messages.ts'
 
--- a/packages/coordination/src/agent.ts
+++ b/packages/coordination/src/agent.ts
@@ -195,8 +195,8 @@
 
   /**
    * Replies with the ledger records of the epoch that this agent is in. If the agent has a newer view than the asking
-   * entry, the owner computed here differs from the one computed by that entry. A reply marked with the older epoch would
-   * then state that none of these jobs was ever started.
+   * entry, the owner computed here differs from the one computed by that entry. A reply marked with the older epoch
+   * would then state that none of these jobs was ever started.
    */
   #recall (entry: Instance, recall: { epoch: string, view: View }, now: number): void {
     this.#adopt(recall.view, now)
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Updates the state. An agent accepts work only once every entry of its view has answered it. If an entry is lost, the
-   * remaining ones then know of every agent that may have started a task for it.
+   * Updates the state. An agent accepts work only once every entry of its view has answered it. If an entry is lost,
+   * the remaining ones then know of every agent that may have started a task for it.
    */
   #refreshState (now: number): void {
     if (!this.#rooted && this.#confirmation.everyMemberReplied(this.#view)) {
--- a/packages/coordination/src/agentexchange.ts
+++ b/packages/coordination/src/agentexchange.ts
@@ -1,4 +1,4 @@
-/** What agents and an entry tell each other, apart from the dispatches. */
+/** Messages between agents and an entry, apart from dispatches. */
 import type { ConfigurationAdoption } from './adoption.ts'
 import type { AgentLinks } from './agentlinks.ts'
 import type { EntryContext } from './entrycontext.ts'
@@ -12,9 +12,12 @@
 import { handleMessage } from './messagehandlers.ts'
 import { ownerOf } from './rendezvous.ts'
 
-/** An agent is remembered until no job that it may have started for a lost entry is. */
+/**
+ * Multiple of the retention time for which a lost agent is kept, so that it outlasts every job that the agent may have
+ * started for a lost entry.
+ */
 const AGENT_RETENTION_FACTOR = 2
-/** Stands for a confirmation by the store that never came. */
+/** Confirmation age that is sent when the store has never confirmed the view. */
 const NEVER_CONFIRMED_MILLISECONDS = 1e12
 
 export interface AgentExchangeDependencies {
@@ -25,10 +28,10 @@
   scheduler: Scheduler
   jobs: Jobs
   adoption: ConfigurationAdoption
-  /** Members of the epoch that was begun last. */
+  /** Members of the epoch that began last. */
   members: () => readonly Member[]
   hello: () => EntryToAgent
-  /** An agent has told what its ledger names. */
+  /** Called when an agent has sent its ledger records. */
   memoryUpdated: (now: number) => void
 }
 
@@ -83,7 +86,7 @@
     this.#adoption.disconnected(agent)
   }
 
-  /** A new epoch: who is responsible for an agent may be another, and its ledger is asked for. */
+  /** Begins a new epoch: reassigns the responsibility for each agent and recalls its ledger records. */
   membersChanged (): void {
     for (const agent of this.#agents.live()) {
       this.#adoption.reassigned(agent, this.#responsibilityFor(agent))
@@ -91,7 +94,7 @@
     }
   }
 
-  /** Gives up agents that have been away for too long, and forgets the ones that matter to no job. */
+  /** Marks agents as lost that have been disconnected for too long, and removes those that are relevant to no job. */
   tick (now: number): void {
     const { agentLost, retention } = this.#context.timings
     for (const agent of this.#agents.overdue(agentLost, now)) this.#giveUp(agent, now)
@@ -133,7 +136,7 @@
     this.#context.sendAgent(agent, { case: 'recall', value: { epoch: this.#takeover.epoch, view: this.#membership.view } })
   }
 
-  /** One entry sends an agent new configurations at once; the others only when it stays behind. */
+  /** The owner of the agent's name sends it new configurations at once; the other entries only if it stays behind. */
   #responsibilityFor (agent: Instance): Responsibility {
     return ownerOf(agent, this.#members()) === this.#context.instance ? Responsibility.Own : Responsibility.Other
   }
--- a/packages/coordination/src/agentguards.ts
+++ b/packages/coordination/src/agentguards.ts
@@ -1,16 +1,16 @@
-/** Guards of the agent, which a proof can switch off to show that it needs them. */
+/** Guards of the agent, which a proof can switch off to show that they are needed. */
 
 /** @internal */
 export interface AgentGuards {
   /** Refuse entries that are not members of the view. */
   fence: boolean
-  /** Refuse dispatches that are meant for another incarnation. */
+  /** Ignore dispatches meant for another incarnation. */
   incarnation: boolean
   /** Look dispatches up in the ledger. */
   ledger: boolean
-  /** Start nothing while cut off from the view. */
+  /** Start nothing while isolated from the view. */
   isolation: boolean
-  /** Start nothing before every entry of the view knows the agent. */
+  /** Start nothing before every entry of the view has answered the agent. */
   rooted: boolean
 }
 
--- a/packages/coordination/src/agentlinks.ts
+++ b/packages/coordination/src/agentlinks.ts
@@ -1,16 +1,16 @@
-/** The agent runs that an entry knows of: which are connected, and which were lost or replaced. */
+/** The agent incarnations known to an entry: which are connected, and which are lost or replaced. */
 import type { Instance, TargetDescription } from './messages.ts'
 
 interface AgentLink {
-  /** Unknown for a run that only another entry told of. */
+  /** Undefined for an incarnation that only another entry reported. */
   target: TargetDescription | undefined
   /** Undefined while connected. */
   disconnectedAt: number | undefined
-  /** Its unfinished tasks have been given up. */
+  /** Its unfinished tasks have been abandoned. */
   lost: boolean
 }
 
-/** A known agent run, for status pages. */
+/** A known agent incarnation, for status pages. */
 export interface AgentSummary {
   instance: Instance
   target: string
@@ -27,14 +27,14 @@
     return link !== undefined && link.disconnectedAt === undefined
   }
 
-  /** Every known run; target and provider are empty for one that only another entry told of. */
+  /** Every known incarnation; target and provider are empty for one that only another entry reported. */
   summaries (): AgentSummary[] {
     return [...this.#links].map(([instance, { target, disconnectedAt }]) => {
       return { instance, target: target?.target ?? '', provider: target?.provider ?? '', connected: disconnectedAt === undefined }
     })
   }
 
-  /** Connected agent runs. */
+  /** Connected agent incarnations. */
   live (): Instance[] {
     return this.known().filter(agent => this.connected(agent))
   }
@@ -43,14 +43,14 @@
     return [...this.#links.keys()]
   }
 
-  /** Every known run with the time since which it is disconnected, undefined while connected. */
+  /** Every known incarnation with the time since which it is disconnected, undefined while connected. */
   disconnections (): Map<Instance, number | undefined> {
     const times = new Map<Instance, number | undefined>()
     for (const [agent, link] of this.#links) times.set(agent, link.disconnectedAt)
     return times
   }
 
-  /** A run announced itself; returns the earlier run beside the same target that it replaces. */
+  /** Records an announced incarnation; returns the earlier incarnation for the same target that it replaces. */
   announced (agent: Instance, target: TargetDescription): Instance | undefined {
     const earlier = this.#byTarget.get(target.target)
     this.#byTarget.set(target.target, agent)
@@ -58,7 +58,7 @@
     return earlier !== undefined && earlier !== agent ? earlier : undefined
   }
 
-  /** Another entry knows this run; true when it was not known here. */
+  /** Adds an incarnation reported by another entry; returns true when it was not known here. */
   addReported (agent: Instance, now: number): boolean {
     if (this.#links.has(agent)) return false
     this.#links.set(agent, { target: undefined, disconnectedAt: now, lost: true })
@@ -70,7 +70,7 @@
     if (link !== undefined && link.disconnectedAt === undefined) link.disconnectedAt = now
   }
 
-  /** Marks a run as given up; false when it was already. */
+  /** Marks an incarnation as lost; returns false when it already was. */
   giveUp (agent: Instance): boolean {
     const link = this.#links.get(agent)
     if (link === undefined || link.lost) return false
@@ -78,7 +78,7 @@
     return true
   }
 
-  /** Runs that have been disconnected for `patience` and are not yet given up. */
+  /** Incarnations that have been disconnected for `timeout` and are not yet marked as lost. */
   overdue (timeout: number, now: number): Instance[] {
     const overdue: Instance[] = []
     for (const [agent, link] of this.#links) {
@@ -88,7 +88,7 @@
     return overdue
   }
 
-  /** Forgets runs that were lost longer ago than any job is remembered. */
+  /** Removes incarnations that have been disconnected for longer than `retention`. */
   expire (retention: number, now: number): void {
     for (const [agent, link] of this.#links) {
       if (link.disconnectedAt === undefined || now - link.disconnectedAt <= retention) continue
--- a/packages/coordination/src/agentstop.ts
+++ b/packages/coordination/src/agentstop.ts
@@ -1,8 +1,8 @@
-/** The planned stop of an agent: whether it was ordered, and which entries know. */
+/** The planned stop of an agent: whether it was ordered, and which entries have acknowledged it. */
 import type { Instance, View } from './messages.ts'
 import { liveMembers } from './view.ts'
 
-/** How long a planned stop waits for entries to learn of it, and to confirm what was refused. */
+/** How long a planned stop waits for entries to acknowledge it, and to confirm refused tasks. */
 const ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS = 3000
 
 export class AgentStop {
@@ -18,12 +18,12 @@
     this.#orderedAt = now
   }
 
-  /** An entry has answered the heartbeat that was sent at `sent`. */
+  /** An entry answered the heartbeat that was sent at `sent`. */
   heartbeatAnswered (entry: Instance, sent: number): void {
     if (this.#orderedAt !== undefined && sent > this.#orderedAt) this.#acknowledgedBy.add(entry)
   }
 
-  /** Time since the order, in milliseconds. */
+  /** Time since the stop was ordered, in milliseconds. */
   orderedFor (now: number): number {
     return now - (this.#orderedAt ?? now)
   }
@@ -32,16 +32,18 @@
     return this.#acknowledgedBy.has(entry)
   }
 
-  /** Whether entries that are not heard of are waited for no longer. */
+  /** Whether the time to wait for entries that do not respond is over. */
   overdue (now: number): boolean {
     return this.orderedFor(now) >= ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS
   }
 
   /**
-   * Whether every member knows that this agent leaves, also one whose link is down: what it sent over that link it sends again
-   * over the next. A dispatch that was on its way when the stop was
-   * ordered would find nobody: its task, which never started, would be answered "may have run". What an
-   * entry sends before it answers a heartbeat arrives before the answer, so that it is refused in time.
+   * Whether every member has acknowledged that this agent leaves, or the timeout has passed. Members whose link is
+   * down are included: they send again over the next link what they sent over the old one.
+   *
+   * Otherwise a dispatch in flight when the stop was ordered would reach no process, and its task would be answered
+   * "may have run" although it never started. Messages that an entry sends before it answers a heartbeat arrive
+   * before the answer, so such a dispatch is refused in time.
    */
   acknowledgedByAll (view: View, now: number): boolean {
     return this.overdue(now) || liveMembers(view).every(({ instance }) => this.#acknowledgedBy.has(instance))
--- a/packages/coordination/src/agenttasks.ts
+++ b/packages/coordination/src/agenttasks.ts
@@ -1,4 +1,4 @@
-/** The tasks at an agent, from the place that each is given to its end, each step in the ledger first. */
+/** The tasks at an agent, from admission to their end. Each step is recorded in the ledger first. */
 import type { AgentGuards } from './agentguards.ts'
 import type { AgentEffect, AgentEvent } from './agenttypes.ts'
 import type { Ledger } from './ledger.ts'
@@ -9,7 +9,7 @@
   slots: Slots
   ledger: Ledger
   guards: AgentGuards
-  /** Whether the agent is not cut off from the view. */
+  /** Whether the agent may start tasks, that is, whether it is not isolated from the view. */
   mayStart: (now: number) => boolean
   emit: (effect: AgentEffect) => void
   send: (entry: Instance, message: AgentToEntry) => void
@@ -22,7 +22,7 @@
   readonly #mayStart: (now: number) => boolean
   readonly #emit: (effect: AgentEffect) => void
   readonly #send: (entry: Instance, message: AgentToEntry) => void
-  /** By number in the ledger: those that wait for a slot, and those that run. */
+  /** Waiting and running tasks by their number in the ledger. */
   readonly #dispatches = new Map<number, Dispatch>()
   readonly #running = new Set<number>()
   #started = 0
@@ -45,17 +45,17 @@
     return this.#dispatches.size - this.#running.size
   }
 
-  /** Tasks started since the agent began. */
+  /** Tasks started since the agent process started. */
   get started (): number {
     return this.#started
   }
 
-  /** Dispatches refused since the agent began. */
+  /** Dispatches refused since the agent process started. */
   get refused (): number {
     return this.#refused
   }
 
-  /** Starts a task that nothing stands against, lets it wait, or refuses it when no place is free. */
+  /** Starts a task, queues it, or refuses it when neither a slot nor a place in the queue is free. */
   admit (entry: Instance, dispatch: Dispatch, now: number): void {
     const number = this.#ledger.accept(dispatch, entry, now)
     const { needs, runMilliseconds, patienceMilliseconds } = dispatch
@@ -70,7 +70,7 @@
     if (placement === 'start') this.#start(number, now)
   }
 
-  /** Refuses a dispatch for good: a late copy of it stays refused. */
+  /** Refuses a dispatch permanently: a late copy of it stays refused. */
   refuse (entry: Instance, dispatch: Dispatch, detail: string, now: number): void {
     this.#refused += 1
     this.#send(entry, { case: 'result', value: this.#ledger.refuse(dispatch, entry, detail, now) })
@@ -85,7 +85,7 @@
     this.#startNext(this.#slots.release(task), now)
   }
 
-  /** Aborts a task that runs, and gives one that waits back as not started. */
+  /** Aborts a running task; reports a waiting one as not started. */
   cancel (task: TaskReference, now: number): void {
     const number = this.#ledger.numberOf(task)
     if (number === undefined) return
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Waiting tasks of an entry that was removed are refused for good, so that the entry that takes
-   * over may be told that they did not start.
+   * Permanently refuses the waiting tasks of a removed entry, so that the entry that takes over can be informed that
+   * they did not start.
    */
   withdrawWaiting (matches: (holder: Instance) => boolean, detail: string, now: number): void {
     if (!this.#guards.fence) return
@@ -119,7 +119,7 @@
     this.#emit({ type: 'startTask', task: number, dispatch })
   }
 
-  /** A task that waited while the agent was cut off is refused, as it would be on arrival. */
+  /** Starts the next waiting tasks. While the agent is isolated they are refused, as they would be on arrival. */
   #startNext (numbers: number[], now: number): void {
     for (const number of numbers) {
       if (!this.#guards.isolation || this.#mayStart(now)) {
--- a/packages/coordination/src/answeredjobs.ts
+++ b/packages/coordination/src/answeredjobs.ts
@@ -1,4 +1,4 @@
-/** Answered jobs, kept for callers that ask again: for the retention time, with results up to a bound of bytes. */
+/** Answered jobs, kept for callers that ask again: for the retention time, with results up to a limit in bytes. */
 import type { Execution } from './execution.ts'
 import type { Answer, JobKey } from './messages.ts'
 import { answerWithout } from './execution.ts'
@@ -7,7 +7,7 @@
 export interface AnsweredJobsLimits {
   /** In milliseconds. */
   retention: number
-  /** Bytes of results held. */
+  /** Maximum bytes of results held. */
   answerBytes: number
 }
 
@@ -27,7 +27,7 @@
     this.#limits = limits
   }
 
-  /** Closes a job with its answer; the results of the oldest jobs go when all together are too large. */
+  /** Closes a job with its answer. Drops the results of the oldest jobs when the total exceeds the limit. */
   keep (execution: Execution, answer: Answer, now: number): void {
     execution.close(answer, now)
     this.#answered.set(execution.key, execution)
@@ -38,13 +38,13 @@
     }
   }
 
-  /** Forgets that the job was answered. */
+  /** Removes an answered job. */
   forget (execution: Execution): void {
     this.#answered.delete(execution.key)
     if (execution.answer !== undefined) this.#bytes -= bytesOf(execution.answer)
   }
 
-  /** Forgets the jobs whose time has passed, and returns them. */
+  /** Removes and returns the jobs whose retention time has passed. */
   expire (now: number): Execution[] {
     const expired: Execution[] = []
     for (const execution of this.#answered.values()) {
@@ -55,7 +55,7 @@
     return expired
   }
 
-  /** Keeps that the job ran, without its results. */
+  /** Replaces a complete answer by one that states that the job ran, without its results. */
   #dropResults (execution: Execution): void {
     const answer = execution.answer as Answer
     this.#bytes -= bytesOf(answer)
--- a/packages/coordination/src/backupreceipts.ts
+++ b/packages/coordination/src/backupreceipts.ts
@@ -1,4 +1,4 @@
-/** That a second entry knows of a job before anything of it is dispatched. */
+/** Ensures that a second entry has a record of a job before any of its tasks is dispatched. */
 import type { EntryContext } from './entrycontext.ts'
 import type { Attachment, Execution } from './execution.ts'
 import type { Instance } from './messages.ts'
@@ -7,7 +7,7 @@
 
 export class BackupReceipts {
   readonly #context: EntryContext
-  /** Told once for each job that is known to a second entry, or that nobody else can know of. */
+  /** Called once for each job, when a second entry has a record of it or when there is no other entry. */
   readonly #onBackedUp: (execution: Execution, now: number) => void
 
   constructor (context: EntryContext, onBackedUp: (execution: Execution, now: number) => void) {
@@ -16,8 +16,8 @@
   }
 
   /**
-   * A job that came through another entry is known there; one that did not needs a receipt. An
-   * entry that is stopping is no second memory: it may have handed over what it knows already.
+   * Ensures a second record of a job. A job forwarded by another entry is already recorded there; any other job needs a
+   * receipt. A stopping entry does not count, since it may already have handed over its records.
    */
   ensure (execution: Execution, from: Attachment | undefined, now: number): void {
     const source = liveMembers(this.#context.view()).find(member => member.instance === from?.entry)
@@ -26,21 +26,21 @@
     else this.#sendReceipt(execution, now)
   }
 
-  /** The backup has the receipt: the first dispatch may go out. */
+  /** The backup entry has confirmed the receipt: the first dispatch may be sent. */
   confirmed (execution: Execution | undefined, backup: Instance, now: number): void {
     if (execution?.awaitedBackup !== backup) return
     execution.awaitedBackup = undefined
     this.#onBackedUp(execution, now)
   }
 
-  /** A peer is gone: receipts that it was to keep go to the next one. */
+  /** A peer is lost: receipts that it has not confirmed are sent to the next backup. */
   peerLost (held: Iterable<Execution>, peer: Instance, now: number): void {
     for (const execution of held) {
       if (execution.awaitedBackup === peer) this.#sendReceipt(execution, now)
     }
   }
 
-  /** A link to a peer is up: receipts that could not be sent, or were lost with the old link, go out. */
+  /** A link to a peer is established: sends the receipts that could not be sent, or were lost with the old link. */
   peerConnected (held: Iterable<Execution>, peer: Instance, now: number): void {
     for (const execution of held) {
       const awaited = execution.awaitedBackup
@@ -50,9 +50,10 @@
   }
 
   /**
-   * Gives another entry the receipt, and dispatches nothing until it has confirmed. If this entry
-   * and an agent are lost together, the receipt is what tells a later submission that the job was
-   * there. With no other entry in the view there is nobody to ask, and the horizon covers the loss.
+   * Sends the receipt to a backup entry; nothing is dispatched until the backup confirms it.
+   *
+   * If this entry and an agent are lost together, the receipt shows a later submission that the job existed. With no
+   * other entry in the view no backup is possible, and the horizon covers the loss.
    */
   #sendReceipt (execution: Execution, now: number): void {
     const members = liveMembers(this.#context.view())
--- a/packages/coordination/src/configuration.ts
+++ b/packages/coordination/src/configuration.ts
@@ -1,17 +1,17 @@
 /**
- * The operators' configuration as the decision logic sees it: already checked against the schema,
- * with every default filled in.
+ * The operators' configuration as used by the decision logic: already checked against the schema, with all defaults
+ * filled in.
  */
 
-/** Work of one kind and the share of it that each provider receives. */
+/** A service and the share of its work that each provider receives. */
 export interface ServiceConfiguration {
   /** Share of each provider in percent; the shares of one service sum to 100. */
   shares: Readonly<Record<string, number>>
 }
 
-/** What operators expect of one provider. */
+/** Settings of one provider. */
 export interface ProviderConfiguration {
-  /** Targets expected to announce themselves; 0 when nothing is expected. */
+  /** Number of targets expected to announce themselves; 0 for no expectation. */
   expectedTargets: number
 }
 
@@ -19,15 +19,15 @@
 export interface TenantConfiguration {
   /** Task starts per second, over all entries; 0 for no limit. */
   tasksPerSecond: number
-  /** Tasks that may start at once above the rate. */
+  /** Tasks that may start at once in excess of the rate. */
   burst: number
-  /** Slots held at one time, over all entries; 0 for no limit. */
+  /** Maximum slots held at one time, over all entries; 0 for no limit. */
   slots: number
-  /** Part of the slots under contention, against the weights of the other tenants. */
+  /** Weight of the tenant's share of the slots under contention, relative to the other tenants. */
   weight: number
 }
 
-/** Parts of the fleet that take no new work. */
+/** Targets, racks, data centres and providers that receive no new work. */
 export interface DrainConfiguration {
   targets: readonly string[]
   racks: readonly string[]
@@ -36,9 +36,9 @@
   providers: readonly string[]
 }
 
-/** One version of the configuration, in force as a whole. */
+/** One version of the configuration, which takes effect as a whole. */
 export interface Configuration {
-  /** Rises by one with every accepted apply; 0 before the first. */
+  /** Increases by one with every accepted apply; 0 before the first. */
   version: number
   services: Readonly<Record<string, ServiceConfiguration>>
   providers: Readonly<Record<string, ProviderConfiguration>>
@@ -46,7 +46,7 @@
   draining: DrainConfiguration
 }
 
-/** The configuration before the first apply: nothing is served. */
+/** The configuration before the first apply: it contains no service. */
 export const EMPTY_CONFIGURATION: Configuration = {
   version: 0,
   services: {},
--- a/packages/coordination/src/configurationexchange.ts
+++ b/packages/coordination/src/configurationexchange.ts
@@ -1,13 +1,13 @@
-/** Configurations that come from the store and from peers, and that go on to whoever is behind. */
+/** Receives configurations from the store and from peers, and sends them on to peers that are behind. */
 import type { ConfigurationAdoption } from './adoption.ts'
 import type { Configuration } from './configuration.ts'
 import type { EntryContext } from './entrycontext.ts'
 import type { Scheduler } from './scheduling.ts'
 
-/** Stands for a configuration's document where the version is all that is used. */
+/** Sent instead of the document when the receiver needs only the version. */
 const EMPTY_DOCUMENT = new Uint8Array()
 
-/** Reads a configuration document of a peer; undefined when it cannot be read. */
+/** Parses the configuration document of a peer; returns undefined when it is invalid. */
 export type ParseConfiguration = (document: Uint8Array, version: number) => Configuration | undefined
 
 export interface ConfigurationExchangeDependencies {
@@ -15,7 +15,7 @@
   adoption: ConfigurationAdoption
   scheduler: Scheduler
   parse: ParseConfiguration
-  /** Tells the other entries the version in force, so that they need not send it here. */
+  /** Reports the version in force to the other entries, so that they need not send it to this one. */
   announce: (now: number) => void
 }
 
@@ -34,7 +34,7 @@
     this.#announce = dependencies.announce
   }
 
-  /** Puts a configuration in force, if it is newer than the one that is. */
+  /** Puts a configuration in force if it is newer than the current one. */
   offer (configuration: Configuration, document: Uint8Array, now: number): void {
     if (!this.#adoption.offer({ version: configuration.version, document }, now)) return
     this.#announce(now)
@@ -42,13 +42,16 @@
     this.#context.emit({ type: 'configurationAdopted', configuration })
   }
 
-  /** A peer sent its configuration. */
+  /** Handles a configuration sent by a peer. */
   received (version: number, document: Uint8Array, now: number): void {
     const configuration = this.#parse(document, version)
     if (configuration !== undefined) this.offer(configuration, document, now)
   }
 
-  /** Agents are told the version alone: what it changes is decided by the entries. */
+  /**
+   * Sends the configuration to peers that are behind. Agents receive the version only: its content is applied by
+   * entries.
+   */
   send (now: number): void {
     const { version, document } = this.#adoption.inForce
     for (const to of this.#adoption.due(now)) {
--- a/packages/coordination/src/entrycomponents.ts
+++ b/packages/coordination/src/entrycomponents.ts
@@ -1,4 +1,4 @@
-/** The parts of an entry, and what each is handed of the others. */
+/** Creates the components of an entry and passes each its dependencies. */
 import type { ParseConfiguration } from './configurationexchange.ts'
 import type { MemoryLimits, Timings } from './defaults.ts'
 import type { EntryContext, EntryGuards } from './entrycontext.ts'
@@ -24,7 +24,7 @@
 
 export interface EntryOptions {
   instance: Instance
-  /** URL of the inner listener, as other processes reach it. */
+  /** URL of the inner listener, reachable by other processes. */
   address: string
   dataCentre: string
   scheduler: Scheduler
@@ -35,22 +35,22 @@
   timings?: Timings
   /** @default DEFAULT_MEMORY_LIMITS */
   limits?: MemoryLimits
-  /** Guards switched off, to show that a proof fails without them. @internal */
+  /** Guards to switch off, to show that a proof fails without them. @internal */
   guards?: EntryGuards
 }
 
-/** What the parts ask of the entry as a whole. */
+/** Callbacks from the components to the entry. */
 export interface EntryHooks {
   emit: (effect: EntryEffect) => void
   hello: () => EntryToAgent & PeerMessage
   /** Sends a heartbeat to every other entry at once. */
   heartbeat: (now: number) => void
-  /** Members of the epoch that was begun last. */
+  /** Members of the epoch that began last. */
   members: () => readonly Member[]
-  /** Members of the view in force, without this one. */
+  /** Members of the current view, without this entry. */
   otherMembers: () => readonly Member[]
   membersChanged: (now: number) => void
-  /** Something was learnt of what others hold or have started. */
+  /** Called when another process has sent the jobs it holds or the tasks it started. */
   memoryUpdated: (now: number) => void
   ready: () => boolean
   settling: (now: number) => boolean
@@ -75,7 +75,7 @@
   readonly plannedStop: PlannedStop
 }
 
-/** Makes the parts, each with what it needs of the others. */
+/** Creates all components of an entry. */
 export function assembleEntry (options: EntryOptions, hooks: EntryHooks): EntryComponents {
   const { scheduler, parseConfiguration: parse } = options
   const { hello, members, otherMembers, membersChanged, memoryUpdated, ready, settling, stop } = hooks
--- a/packages/coordination/src/entrylinks.ts
+++ b/packages/coordination/src/entrylinks.ts
@@ -1,4 +1,4 @@
-/** The links of an entry to other entries and to agents: what is sent where no link is up is dropped. */
+/** The links of an entry to other entries and to agents. Messages to a process without a link are dropped. */
 import type { AgentLinks } from './agentlinks.ts'
 import type { EntryEffect } from './entrytypes.ts'
 import type { EntryToAgent, Instance, PeerMessage } from './messages.ts'
@@ -13,7 +13,7 @@
     this.#emit = emit
   }
 
-  /** Peers to which a link is up. */
+  /** Peers with an established link. */
   get peers (): ReadonlySet<Instance> {
     return this.#peers
   }
@@ -26,19 +26,19 @@
     this.#peers.delete(peer)
   }
 
-  /** Sends to every peer. */
+  /** Sends to every linked peer. */
   broadcast (message: PeerMessage): void {
     for (const peer of this.#peers) this.sendPeer(peer, message)
   }
 
-  /** Sends if the link is up; whether it was. */
+  /** Sends if the link is up; returns whether it was. */
   sendPeer (peer: Instance, message: PeerMessage): boolean {
     if (!this.#peers.has(peer)) return false
     this.#emit({ type: 'sendPeer', peer, message })
     return true
   }
 
-  /** Sends if the link is up; whether it was. */
+  /** Sends if the link is up; returns whether it was. */
   sendAgent (agent: Instance, message: EntryToAgent): boolean {
     if (!this.#agents.connected(agent)) return false
     this.#emit({ type: 'sendAgent', agent, message })
--- a/packages/coordination/src/handover.ts
+++ b/packages/coordination/src/handover.ts
@@ -1,12 +1,11 @@
 /**
- * What an entry that stops leaves behind. Every job that it remembers goes to the entry that owns
- * the job id next, and a receipt of it to one more entry, so that each job is again remembered
- * twice when the stopping entry is gone.
+ * The records that a stopping entry hands over. Each job goes to the entry that owns the job id next, and a receipt
+ * of it to one more entry, so that two entries have a record of each job after the stop.
  */
 import type { Answer, Instance, JobKey, Member, Receipt } from './messages.ts'
 import { backupsOf, ownerOf } from './rendezvous.ts'
 
-/** A job that is held here, answered or not. */
+/** A job held by this entry, answered or not. */
 export interface HeldJob {
   readonly key: JobKey
   readonly digest: string
@@ -20,10 +19,10 @@
   receipts: Iterable<Receipt>
 }
 
-/** The last receipt of a handover names no job: what an entry sent before it stopped is complete. */
+/** Job key of the last receipt of a handover, which marks the handover as complete. */
 const END_MARKER_JOB: JobKey = ''
 
-/** Receipts by the entry that they go to; each list ends with the closing one. */
+/** Receipts by the entry they are sent to; each list ends with the end marker. */
 export function handoverOf ({ self, remaining, jobs, receipts }: HandoverInput): Map<Instance, Receipt[]> {
   const handover = new Map<Instance, Receipt[]>(remaining.map(member => [member.instance, []]))
   const add = (to: Instance | undefined, receipt: Receipt): void => {
@@ -44,12 +43,12 @@
   return handover
 }
 
-/** Whether these receipts are the whole handover of a stopping entry. */
+/** Whether these receipts are the complete handover of a stopping entry. */
 export function isHandover (receipts: readonly Receipt[]): boolean {
   return receipts.at(-1)?.job === END_MARKER_JOB
 }
 
-/** The receipts that name jobs. */
+/** The receipts without the end marker. */
 export function receiptsOfJobs (receipts: readonly Receipt[]): Receipt[] {
   return receipts.filter(receipt => receipt.job !== END_MARKER_JOB)
 }
--- a/packages/coordination/src/holders.ts
+++ b/packages/coordination/src/holders.ts
@@ -1,4 +1,4 @@
-/** Which entry has a job, or would have it, as far as this entry knows. */
+/** Determines which entry holds a job, or would hold it, as far as this entry knows. */
 import type { EntryContext } from './entrycontext.ts'
 import type { Attachment } from './execution.ts'
 import type { Jobs } from './jobs.ts'
@@ -19,13 +19,13 @@
     this.#receipts = receipts
   }
 
-  /** The other entry that has or would have the job; undefined when it is this one's. */
+  /** The other entry that holds or would hold the job; undefined when it is this one. */
   otherHolder (job: JobKey): Instance | undefined {
     const holder = this.#holderOf(job)
     return holder === this.#context.instance ? undefined : holder
   }
 
-  /** Tells the entry that asked who holds the job. */
+  /** Informs the asking entry which entry holds the job. */
   redirect (from: Attachment, job: JobKey, holder: Instance): void {
     const value = { job, submission: from.submission, status: SubmitStatus.HeldElsewhere, holder }
     this.#context.sendPeer(from.entry, { case: 'submitted', value })
--- a/packages/coordination/src/jobmemory.ts
+++ b/packages/coordination/src/jobmemory.ts
@@ -60,7 +60,10 @@
     this.#peerComplete = false
   }
 
-  /** A member was removed. Unless it handed its memory over, one of the two copies of some job records is lost with it. */
+  /**
+   * A member was removed. Unless it handed its memory over, one of the two copies of some job records is lost with
+   * it.
+   */
   memberRemoved (peer: Instance, now: number): void {
     if (!this.#handedOver.delete(peer)) this.#losses.push(now)
   }
@@ -97,9 +100,10 @@
   /**
    * Marks the memory of a new entry as complete: it is as complete as that of any other member.
    *
-   * If no member has a complete memory, earlier runs are forgotten and the horizon is raised. The agents that ran them are
-   * forgotten too, so a placeholder that can never be reached is added for them. Neither applies while entries have only
-   * joined so far, perhaps several before the first had read its own join, since nothing can have run then.
+   * If no member has a complete memory, earlier runs are forgotten and the horizon is raised. The agents that ran
+   * them are forgotten too, so a placeholder that can never be reached is added for them. Neither applies while
+   * entries have only joined so far, perhaps several before the first had read its own join, since nothing can have
+   * run then.
    */
   #becomeComplete (now: number): void {
     this.#complete = true
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -14,7 +14,9 @@
 const RANK_DELAY_MILLISECONDS = 150
 /** Time without a confirmation after which an entry that resumed from a pause continues anyway: the store is down. */
 const VIEW_RECHECK_TIMEOUT_MILLISECONDS = 1500
-/** Time without contact to a peer, as a fraction of the suspicion time, after which this entry may itself be isolated. */
+/**
+ * Time without contact to a peer, as a fraction of the suspicion time, after which this entry may itself be isolated.
+ */
 const POSSIBLE_ISOLATION_FRACTION = 0.75
 /** Maximum age of a confirmation by the store that makes up for missing contact with a peer. */
 const MAX_CONFIRMATION_AGE_MILLISECONDS = 400
@@ -109,7 +111,8 @@
   }
 
   /**
-   * Called when an entry with a complete memory has begun a view that contains this one, or when there is no such entry.
+   * Called when an entry with a complete memory has begun a view that contains this one, or when there is no such
+   * entry.
    *
    * Until then the entries that joined earlier may be partitioned away together with agents that have never been in
    * contact with this entry. They would go on working for as long as they reach each other.
@@ -135,8 +138,9 @@
   /**
    * Called before anything else is done at `now`, to detect a pause of this process.
    *
-   * After a pause every peer appears unresponsive although it was this process that did not receive, so all of them get
-   * their full time again. This entry may also have been removed meanwhile: it reads the store before it accepts anything.
+   * After a pause every peer appears unresponsive although it was this process that did not receive, so all of them
+   * get their full time again. This entry may also have been removed meanwhile: it reads the store before it accepts
+   * anything.
    */
   detectPause (now: number): void {
     const paused = this.#lastEventAt !== undefined && now - this.#lastEventAt > this.#timings.suspect / 2
@@ -154,9 +158,9 @@
   }
 
   /**
-   * Whether it is safe to assume that no other entry has taken over this one's job ids. Only then may this entry answer
-   * that a job was not run. For an entry to be removed, some peer must have lost contact with it. Then this entry has also
-   * lost contact with that peer, or receives the newer view.
+   * Whether it is safe to assume that no other entry has taken over this one's job ids. Only then may this entry
+   * answer that a job was not run. For an entry to be removed, some peer must have lost contact with it. Then this
+   * entry has also lost contact with that peer, or receives the newer view.
    */
   inForce (now: number): boolean {
     if (!this.#guards.inForce) return true
@@ -203,9 +207,9 @@
    * Handles a refused connection to the peer's own address, which means that its process has ended. A paused or
    * partitioned process does not respond at all, so a missing response never counts here.
    *
-   * Before a refusal counts, the store is read: if it still names this entry, the ended peer cannot change that any more.
-   * If the store is down, the refusal counts only shortly after contact with the peer. After a longer gap the peer may
-   * have removed this entry and continued with others that this view does not contain.
+   * Before a refusal counts, the store is read: if it still names this entry, the ended peer cannot change that any
+   * more. If the store is down, the refusal counts only shortly after contact with the peer. After a longer gap the
+   * peer may have removed this entry and continued with others that this view does not contain.
    */
   refused (peer: Instance, by: Instance, now: number): boolean {
     if (!isMember(this.#view, peer)) return false
--- a/packages/coordination/src/messagehandlers.ts
+++ b/packages/coordination/src/messagehandlers.ts
@@ -1,4 +1,4 @@
-/** Handlers of messages, one for each kind. */
+/** Dispatch of messages to one handler per message type. */
 import type { Instance } from './messages.ts'
 
 interface AnyMessage {
@@ -6,7 +6,7 @@
   value: unknown
 }
 
-/** Each takes the sender, the content and the time. */
+/** One handler per `case`, called with the sender, the content and the time. */
 export type MessageHandlers<Message extends AnyMessage> = {
   [Case in Message['case']]: (from: Instance, value: Extract<Message, { case: Case }>['value'], now: number) => void
 }
--- a/packages/coordination/src/messages.ts
+++ b/packages/coordination/src/messages.ts
@@ -1,11 +1,10 @@
 /**
- * The messages of the inner protocol as the decision logic sees them. They have the shape of
- * the generated protocol types (`{ case, value }`), so that the daemon hands them to the codec as
- * they are. All durations are in milliseconds. No message carries a clock reading of the sender
- * that the receiver compares with its own clock.
+ * Messages of the inner protocol as used by the decision logic. They have the shape of the generated protocol types
+ * (`{ case, value }`), so the daemon passes them to the codec unchanged. All durations are in milliseconds. No message
+ * carries a clock reading of the sender that the receiver compares with its own clock.
  */
 
-/** One run of one process, `id#incarnation`: never used again after the process has ended. */
+/** One incarnation of a process, `id#incarnation`: never reused after the process has ended. */
 export type Instance = string
 
 /** Identity of a job: `tenant/job`, the caller's job id within its tenant. */
@@ -18,26 +17,26 @@
   Succeeded = 1,
   /** The target ran the task and it failed. */
   Failed = 2,
-  /** The agent did not start the task, and its ledger will refuse this attempt for good. */
+  /** The agent did not start the task, and its ledger refuses this attempt permanently. */
   NotStarted = 3,
   /** The call to the target broke off after it was made: the task may have run. */
   MayHaveRun = 4
 }
 
-/** Where a task stands in an agent's ledger. */
+/** State of a task in an agent's ledger. */
 export enum LedgerState {
   Unspecified = 0,
   /** Accepted and waiting for a slot: not started. */
   Queued = 1,
-  /** Started, no outcome yet. */
+  /** Started, without an outcome yet. */
   Running = 2,
   /** An outcome is known. */
   Finished = 3,
-  /** Refused: this attempt will never start. */
+  /** Refused: this attempt never starts. */
   Refused = 4
 }
 
-/** What a caller is told. The numbers are those of the inner protocol. */
+/** Kind of answer that a caller receives. The numbers are those of the inner protocol. */
 export enum AnswerKind {
   Unspecified = 0,
   /** Every task succeeded; one result for each, in task order. */
@@ -46,7 +45,7 @@
   Failed = 2,
   /** It is not known whether some task ran. */
   MayHaveRun = 3,
-  /** No task of the job was started, and none will be from this submission. */
+  /** No task of the job was started, and none will be for this submission. */
   Refused = 4
 }
 
@@ -65,56 +64,56 @@
   Cancelled = 5,
   /** The expected wait is longer than the deadline allows. */
   Overloaded = 6,
-  /** The tenant is above its quota. */
+  /** The tenant exceeds its quota. */
   QuotaExceeded = 7,
-  /** No target there is, or is expected, could ever run the job. */
+  /** No target, present or expected, could ever run the job. */
   NeverRunnable = 8,
-  /** The configuration has no such service. */
+  /** The configuration does not contain the service. */
   UnknownService = 9,
-  /** The configuration has no such tenant. */
+  /** The configuration does not contain the tenant. */
   UnknownTenant = 10,
-  /** The job id was used before with other content. */
+  /** The job id was used before with different content. */
   IdReused = 11,
-  /** The job was lodged before the memory of the system begins. */
+  /** The job was lodged before the period that the memory of the entries covers. */
   BeforeHorizon = 12,
   /** The entry is stopping, fenced or not ready. */
   NotReady = 13,
-  /** The answer was given before and its results are no longer held. */
+  /** The job was answered before and its results are no longer held. */
   ResultsExpired = 14,
   /** The entry that owns the job cannot be reached. */
   OwnerUnreachable = 15,
-  /** The request cannot be read as a job. */
+  /** The request cannot be parsed as a job. */
   Malformed = 16,
   /** The request is larger than the limits allow. */
   TooLarge = 17
 }
 
-/** What one task asks of a target. */
+/** Resources that one task requires at a target. */
 export interface TaskNeeds {
   accelerators: number
   memoryMegabytes: number
 }
 
-/** One task of a job as the caller stated it. */
+/** One task of a job as submitted by the caller. */
 export interface TaskRequest {
   payload: Uint8Array
-  /** Run time the caller declares, in milliseconds; 0 when it declares none. Often far off. */
+  /** Run time declared by the caller, in milliseconds; 0 when none is declared. Often inaccurate. */
   runMilliseconds: number
   needs: TaskNeeds
 }
 
-/** A job as it travels between entries. */
+/** A job as sent between entries. */
 export interface Job {
   key: JobKey
   tenant: string
   service: string
-  /** Digest of the content, to tell a resubmission from another job under the same id. */
+  /** Digest of the content, to distinguish a resubmission from another job under the same id. */
   digest: string
-  /** Whether the caller allows a further submission to run the job again once it is forgotten. */
+  /** Whether the caller allows a later submission to run the job again once its record is gone. */
   repeatable: boolean
-  /** Time left until the deadline, in milliseconds, when the message was made. */
+  /** Time left until the deadline, in milliseconds, when the message was created. */
   remainingMilliseconds: number
-  /** When the caller first lodged the job, in milliseconds since 1970; 0 when it states nothing. */
+  /** When the caller first lodged the job, in milliseconds since 1970; 0 when not stated. */
   lodgedAt: number
   tasks: TaskRequest[]
 }
@@ -123,11 +122,11 @@
 export interface Answer {
   kind: AnswerKind
   cause: Cause
-  /** Text for a person: what happened and what to do. */
+  /** Explanation for a person: what happened and what to do. */
   detail: string
   /** One result per task in task order; empty unless `kind` is `Complete`. */
   results: Uint8Array[]
-  /** When to come back, in milliseconds; 0 when coming back is of no use. */
+  /** When to retry, in milliseconds; 0 when a retry is of no use. */
   retryAfterMilliseconds: number
 }
 
@@ -137,7 +136,7 @@
   /** URL of its inner listener. */
   address: string
   dataCentre: string
-  /** It is stopping: it keeps what it has and owns no job ids any more. */
+  /** It is stopping: it keeps the jobs it has and owns no job ids any more. */
   leaving: boolean
 }
 
@@ -145,13 +144,13 @@
 export interface View {
   version: number
   members: Member[]
-  /** Instances that were members and must never be obeyed again. Only grows within retention. */
+  /** Former members whose messages must not be acted on any more. Only grows within the retention time. */
   fenced: Instance[]
 }
 
-/** What an agent says of the target beside it. */
+/** Description of a target, sent by its agent. */
 export interface TargetDescription {
-  /** Stable name of the target, the agent's id. */
+  /** Stable name of the target; equal to the agent's id. */
   target: string
   provider: string
   services: string[]
@@ -162,15 +161,15 @@
   rack: string
 }
 
-/** Load of a target as the agent counts it, for one entry. */
+/** Load of a target as counted by its agent, for one entry. */
 export interface TargetReport {
   /** Tasks running now. */
   running: number
   /** Tasks accepted and waiting at the agent. */
   queued: number
-  /** Tasks that this entry may have dispatched and unfinished at this agent at one time. */
+  /** Maximum unfinished tasks that this entry may have dispatched to this agent at one time. */
   credit: number
-  /** The target takes no new work. */
+  /** The target accepts no new work. */
   leaving: boolean
   viewVersion: number
   configurationVersion: number
@@ -179,9 +178,9 @@
 export interface Dispatch {
   job: JobKey
   index: number
-  /** Rises each time this task is dispatched; an agent refuses one at or below a refused attempt. */
+  /** Increases each time this task is dispatched; an agent refuses attempts at or below a refused one. */
   attempt: number
-  /** The agent run it is meant for: another incarnation refuses it. */
+  /** The agent incarnation it is meant for: another one ignores it. */
   agent: Instance
   tenant: string
   service: string
@@ -209,14 +208,14 @@
   runMilliseconds: number
 }
 
-/** One line of an agent's ledger, as handed to the entry that takes a fenced entry's jobs over. */
+/** One record of an agent's ledger, as sent to the entry that takes over a fenced entry's jobs. */
 export interface LedgerLine {
   job: JobKey
   index: number
   attempt: number
   state: LedgerState
   outcome: TaskOutcome
-  /** Result of a finished task; absent from the ledger when `payloadHeld` is false. */
+  /** Result of a finished task; empty when `payloadHeld` is false. */
   payload: Uint8Array
   payloadHeld: boolean
   detail: string
@@ -229,9 +228,9 @@
   | { case: 'dispatch', value: Dispatch }
   | { case: 'cancel', value: { tasks: TaskReference[] } }
   | { case: 'acknowledge', value: { tasks: TaskReference[] } }
-  /** Adopt `view`, and hand over the ledger lines of entries outside it that the asking entry now owns. */
+  /** Adopt `view`, and send the ledger records of removed entries whose jobs the asking entry now owns. */
   | { case: 'recall', value: { epoch: string, view: View } }
-  /** Answer to a heartbeat: `sent` as received; age of the last confirmation of the view by the store. */
+  /** Answer to a heartbeat: `sent` as received, and the age of the store's last confirmation of the view. */
   | { case: 'heartbeatReply', value: { sent: number, viewVersion: number, confirmedAgeMilliseconds: number } }
   | { case: 'configuration', value: { version: number, document: Uint8Array } }
 
@@ -240,32 +239,32 @@
   | { case: 'announce', value: { instance: Instance, target: TargetDescription, report: TargetReport } }
   | { case: 'report', value: TargetReport }
   | { case: 'result', value: TaskResult }
-  /** Answer to `recall`, with its epoch: the lines whose jobs now belong to the asking entry. */
+  /** Answer to `recall`: the records whose jobs the asking entry owns, with the agent's epoch. */
   | { case: 'recalled', value: { epoch: string, lines: LedgerLine[] } }
-  /** `sent` is a reading of the agent's own clock, returned to it untouched. */
+  /** `sent` is a reading of the agent's own clock, returned to it unchanged. */
   | { case: 'heartbeat', value: { sent: number, viewVersion: number, configurationVersion: number } }
 
-/** Second memory of a job: that it exists, and which entry runs it. */
+/** Second record of a job: that it exists, and which entry runs it. */
 export interface Receipt {
   job: JobKey
   digest: string
   executor: Instance
-  /** The final answer, when an entry that stops hands it over. */
+  /** The final answer, when a stopping entry hands it over. */
   answer?: Answer
 }
 
-/** How the owner took a forwarded job. */
+/** How the owner handled a forwarded job. */
 export enum SubmitStatus {
   Unspecified = 0,
-  /** The owner holds the job; an `answer` will follow. */
+  /** The owner holds the job; an `answer` follows. */
   Accepted = 1,
-  /** Another entry holds the job: ask it. */
+  /** Another entry holds the job, and is to be asked instead. */
   HeldElsewhere = 2
 }
 
 /**
- * From an entry to an entry. `submission` names one request of the sender, so that a copy that
- * arrives late or twice, and the answer to it, are never taken for another request.
+ * From an entry to an entry. `submission` identifies one request of the sender, so that a late or duplicate copy, and
+ * the answer to it, are never matched with another request.
  */
 export type PeerMessage =
   | { case: 'hello', value: { instance: Instance, view: View, configurationVersion: number } }
@@ -283,22 +282,24 @@
   | { case: 'refused', value: { instance: Instance } }
   | { case: 'configuration', value: { version: number, document: Uint8Array } }
 
-/** What an entry hands to another when the view changes. */
+/** Sent by each entry to every other one when the view changes. */
 export interface Transfer {
   view: View
-  /** Jobs that now belong to the receiver: held here, or known here by receipt. */
+  /** Jobs that the receiver owns or is to keep as backup: held by the sender, or known to it by receipt. */
   receipts: Receipt[]
-  /** Every agent run that the sender knows of, live or lost. */
+  /** Every agent incarnation known to the sender, connected or lost. */
   agents: Instance[]
-  /** Whether the sender's own memory goes back to the horizon: false while it is new itself. */
+  /** Whether the sender's own memory is complete since its horizon; false while the sender is new itself. */
   complete: boolean
-  /** Entries lost without handing over within the retention time. */
+  /** Number of entries lost without a handover within the retention time. */
   losses: number
-  /** Since when the sender's memory is complete, in milliseconds since 1970; 0 for ever. */
+  /**
+   * Start of the period for which the sender's memory is complete, in milliseconds since 1970; 0 when it always was.
+   */
   horizon: number
 }
 
-/** Where a job stands, as a look-up tells it. */
+/** State of a job, as a look-up reports it. */
 export enum JobState {
   Unknown = 0,
   Queued = 1,
--- a/packages/coordination/src/peerexchange.ts
+++ b/packages/coordination/src/peerexchange.ts
@@ -1,4 +1,4 @@
-/** What entries tell each other. */
+/** Messages between entries. */
 import type { ConfigurationAdoption } from './adoption.ts'
 import type { ConfigurationExchange } from './configurationexchange.ts'
 import type { EntryContext } from './entrycontext.ts'
@@ -26,7 +26,7 @@
   transfers: Transfers
   hello: () => PeerMessage
   membersChanged: (now: number) => void
-  /** A peer has told what it holds. */
+  /** Called when a peer has sent the jobs it holds. */
   memoryUpdated: (now: number) => void
 }
 
@@ -115,15 +115,17 @@
     handleMessage(this.#handlers, peer, message, now)
   }
 
-  /** Tells linked entries that are members no more of the view without them. */
+  /** Sends the view to linked entries that it no longer contains. */
   notifyRemovedPeers (): void {
     for (const peer of this.#links.peers) if (!isMember(this.#membership.view, peer)) this.#sendHello(peer)
   }
 
   /**
-   * An entry that was removed, woke from a pause and still forwards jobs is no second memory for
-   * them: what it holds will not be handed over. Views are taken from anybody. This is a second line
-   * of defence: no schedule of faults is known that only this check keeps from breaking a promise.
+   * Whether a message is processed: views from any entry, other messages only from members.
+   *
+   * A removed entry that resumes from a pause and still forwards jobs must not count as a second record of them,
+   * because its records will not be handed over. This is an additional safeguard: no schedule of faults is known in
+   * which only this check prevents a violation.
    */
   #accepts (peer: Instance, message: PeerMessage): boolean {
     if (message.case === 'hello' || message.case === 'transfer') return true
--- a/packages/coordination/src/plannedstop.ts
+++ b/packages/coordination/src/plannedstop.ts
@@ -1,11 +1,11 @@
-/** The planned stop of an entry: it finishes what it has, hands its memory over and leaves the view. */
+/** The planned stop of an entry: it finishes its jobs, hands its records over and leaves the view. */
 import type { EntryContext } from './entrycontext.ts'
 import type { Member } from './messages.ts'
 import type { Membership } from './membership.ts'
 
-/** How long a stopping entry goes on taking requests that were already on their way. */
+/** How long a stopping entry continues to accept requests that were already in flight. */
 const IN_FLIGHT_GRACE_MILLISECONDS = 1000
-/** How long a stopping entry that has handed everything over waits to be removed from the view. */
+/** How long a stopping entry that has handed everything over waits for its removal from the view. */
 const DEPARTURE_TIMEOUT_MILLISECONDS = 3000
 
 export interface PlannedStopDependencies {
@@ -14,7 +14,7 @@
   otherMembers: () => readonly Member[]
   /** Whether no job and no request is open here. */
   idle: () => boolean
-  /** Gives every memory held here to the entries that stay. */
+  /** Hands all job records held here over to the remaining entries. */
   handOver: () => void
   /** Ends the entry. */
   stop: () => void
@@ -43,12 +43,12 @@
     return this.#orderedAt !== undefined
   }
 
-  /** Whether everything has been handed over, and this entry waits to be removed from the view. */
+  /** Whether everything has been handed over and this entry waits for its removal from the view. */
   get departing (): boolean {
     return this.#departingSince !== undefined
   }
 
-  /** Begins the stop; false when it had begun. */
+  /** Begins the stop; returns false when it had already begun. */
   order (now: number): boolean {
     if (this.#orderedAt !== undefined) return false
     this.#orderedAt = now
@@ -69,7 +69,7 @@
     this.#membership.depart()
   }
 
-  /** Whether the others own this entry's job ids now, and each can be told what is known of them. */
+  /** Whether the other members own this entry's job ids now, and all of them are connected. */
   #canHandOver (): boolean {
     const others = this.#otherMembers()
     if (others.length > 0 && !this.#membership.leavingPublished) return false
--- a/packages/coordination/src/receipts.ts
+++ b/packages/coordination/src/receipts.ts
@@ -1,11 +1,11 @@
-/** Second memories of jobs that other entries run: that each exists, and who runs it. */
+/** Receipts of jobs that other entries run: that each job exists, and which entry runs it. */
 import type { Answer, Instance, JobKey, Receipt } from './messages.ts'
 
 interface HeldReceipt extends Receipt {
   keptAt: number
 }
 
-/** Remembers receipts for the retention time. */
+/** Holds receipts for the retention time. */
 export class Receipts {
   readonly #held = new Map<JobKey, HeldReceipt>()
   readonly #retention: number
@@ -27,12 +27,12 @@
     this.#held.set(receipt.job, { ...receipt, keptAt: now })
   }
 
-  /** Removes a receipt whose job provably did not run, if `executor` still stands in it. */
+  /** Removes the receipt of a job that provably did not run, if it still names `executor`. */
   drop (job: JobKey, executor: Instance): void {
     if (this.#held.get(job)?.executor === executor) this.#held.delete(job)
   }
 
-  /** Removes the receipts that name `executor` and that `stale` says are not true any more. */
+  /** Removes the receipts that name `executor` and for which `stale` returns true. */
   dropStale (executor: Instance, stale: (job: JobKey) => boolean): void {
     for (const [job, receipt] of this.#held) {
       if (receipt.executor === executor && stale(job)) this.#held.delete(job)
@@ -43,7 +43,7 @@
     this.#held.delete(job)
   }
 
-  /** Receipts in no useful order, each with the answer if one was handed over. */
+  /** All receipts in unspecified order, each with the answer if one was handed over. */
   * values (): IterableIterator<Receipt & { answer?: Answer }> {
     yield * this.#held.values()
   }
--- a/packages/coordination/src/refusals.ts
+++ b/packages/coordination/src/refusals.ts
@@ -1,4 +1,4 @@
-/** Refusals that were given: a copy of the same submission gets the same one. */
+/** Refusals sent earlier: a copy of the same submission gets the same refusal. */
 import type { Attachment } from './execution.ts'
 import type { Answer } from './messages.ts'
 
@@ -11,7 +11,7 @@
   return `${entry}/${submission}`
 }
 
-/** Remembers refusals for the retention time. */
+/** Holds refusals for the retention time. */
 export class Refusals {
   readonly #retention: number
   /** Oldest first. */
@@ -25,7 +25,7 @@
     this.#refusals.set(submissionName(to), { answer, at: now })
   }
 
-  /** The refusal that this very request was given before. */
+  /** The refusal that this request received earlier. */
   of (from: Attachment): Answer | undefined {
     return this.#refusals.get(submissionName(from))?.answer
   }
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing of job ids over the entries: every process with the same members names the
- * same owner, and a member that leaves moves only its own job ids.
+ * Rendezvous hashing of job ids over the entries. Every process with the same members computes the same owner, and a
+ * member that leaves moves only its own job ids.
  */
 import type { Instance, JobKey, Member } from './messages.ts'
 
@@ -19,7 +19,7 @@
   return hash >>> 0
 }
 
-/** Final mixing of MurmurHash3, so that similar names get unrelated scores. */
+/** Finalizer of MurmurHash3, so that similar names get unrelated scores. */
 function mix (value: number): number {
   let hash = value
   hash ^= hash >>> 16
@@ -30,12 +30,12 @@
   return hash >>> 0
 }
 
-/** Score of a name for the hash of a key: the highest of several names is the one that the key belongs to. */
+/** Score of a name for the hash of a key; the name with the highest score owns the key. */
 export function score (keyHash: number, instance: Instance): number {
   return mix(keyHash ^ mix(hashString(instance)))
 }
 
-/** Members in descending order of their score for a job id; ties go by name. */
+/** Members in descending order of their score for a job id; ties are ordered by name. */
 function ranked (key: JobKey, members: readonly Member[]): Member[] {
   const keyHash = hashString(key)
   const scored = members.map(member => ({ member, score: score(keyHash, member.instance) }))
@@ -66,9 +66,9 @@
 }
 
 /**
- * Entries that may hold the second memory of a job that `holder` runs, best first: those of other
- * data centres in hash order, then those of the holder's own. Entries that are stopping come last:
- * they may have handed over what they know already.
+ * Entries that may keep the backup receipt of a job that `holder` runs, best first: those in other data centres in hash
+ * order, then those in the holder's own. Stopping entries come last, since they may already have handed over their
+ * records.
  */
 export function backupsOf (key: JobKey, holder: Instance, members: readonly Member[]): Instance[] {
   const holderDataCentre = members.find(member => member.instance === holder)?.dataCentre
--- a/packages/coordination/src/takeover.ts
+++ b/packages/coordination/src/takeover.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks whether an entry knows everything about its job ids that other processes know, in the current epoch.
+ * Tracks whether an entry has received all that other processes hold of its job ids, in the current epoch.
  *
  * Each change of members moves job ids between entries. The new owner first receives from every other member the jobs
  * it holds, and from every agent the tasks it started for entries that are gone.
@@ -105,7 +105,7 @@
     if (epoch === this.#epoch) this.#peers.delete(peer)
   }
 
-  /** Adds an agent incarnation that only another entry had recorded. */
+  /** Adds an agent incarnation that announced itself or that another entry reported; its ledger records are awaited. */
   addAgent (agent: Instance, disconnectedAt: number | undefined, now: number): void {
     this.#awaitLedger(agent, disconnectedAt, now)
   }
--- a/packages/coordination/src/target.ts
+++ b/packages/coordination/src/target.ts
@@ -1,31 +1,31 @@
-/** One target as one entry knows it: what it reported, what is outstanding there, and how far it is trusted. */
+/** One target as seen by one entry: what it reported, what is outstanding there, and its health. */
 import type { Instance, TargetDescription, TargetReport, TaskNeeds } from './messages.ts'
 import { TargetHealth, Trust } from './health.ts'
 import { FULL_MILLISECONDS, HANG_MILLISECONDS, HANG_RUNS, REPORT_HALF_LIFE_MILLISECONDS, SLOWNESS_REVIEW_MILLISECONDS } from './schedulingdefaults.ts'
 
-/** One target, reached through one run of its agent. */
+/** One target, reached through one incarnation of its agent. */
 export class Target {
   readonly agent: Instance
   readonly description: TargetDescription
   readonly health: TargetHealth
-  /** In [0, 1): sends the odd tasks of different entries to different targets. */
+  /** In [0, 1): makes different entries send their remaining tasks to different targets. */
   readonly tieBreaker: number
   report: TargetReport
   up = true
   drained = false
-  /** Tasks dispatched there and not settled. */
+  /** Tasks dispatched to the target and not finished. */
   outstanding = 0
   accelerators = 0
   memoryMegabytes = 0
   #fullUntil = -Infinity
-  /** Tasks of ours that it held when it refused a further one. */
+  /** Outstanding tasks of this entry when the target refused a further one. */
   #outstandingWhenFull = Infinity
   #reportedAt: number
   #outstandingWhenReported = 0
   #changeSinceReport = 0
-  /** Last sign of life while it had tasks of ours. */
+  /** Time of the last activity while tasks of this entry were outstanding. */
   #lastActiveAt: number
-  /** Expected run time of what is outstanding. */
+  /** Total expected run time of the outstanding tasks. */
   #work = 0
 
   constructor (agent: Instance, description: TargetDescription, report: TargetReport, health: TargetHealth, tieBreaker: number, now: number) {
@@ -46,7 +46,10 @@
     this.#fullUntil = -Infinity
   }
 
-  /** It refused a task for want of room: it gets no more than it holds for a while, or until it reports. */
+  /**
+   * The target refused a task for lack of capacity: for a while, or until its next report, it gets no more tasks than
+   * it holds now.
+   */
   noteFull (now: number): void {
     this.#fullUntil = now + FULL_MILLISECONDS
     this.#outstandingWhenFull = this.outstanding
@@ -61,7 +64,7 @@
     this.#work += estimate
   }
 
-  /** `alive` tells whether the target itself gave a sign of life with it. */
+  /** @param active whether the outcome shows activity of the target itself */
   noteSettled (needs: TaskNeeds, estimate: number, active: boolean, now: number): void {
     this.#work -= estimate
     this.outstanding -= 1
@@ -71,28 +74,28 @@
     if (active) this.#lastActiveAt = now
   }
 
-  /** Load as last reported and what this entry did since, per slot. */
+  /** Load per slot: as last reported, adjusted by what this entry did since. */
   reportedLoad (): number {
     const { running, queued } = this.report
     return (running + queued + this.#changeSinceReport) / this.description.slots
   }
 
-  /** What other entries hold here, as last reported; the older the report, the less it counts. */
+  /** Tasks of other entries as last reported; the older the report, the less they count. */
   othersLoad (now: number): number {
     const { running, queued } = this.report
     const others = Math.max(0, running + queued - this.#outstandingWhenReported)
     return others * 2 ** (-(now - this.#reportedAt) / REPORT_HALF_LIFE_MILLISECONDS)
   }
 
-  /** Takes new work, now or as soon as it has room. */
+  /** Whether the target accepts new work, now or as soon as it has free capacity. */
   get usable (): boolean {
     return this.up && !this.drained && !this.report.leaving && this.health.trust !== Trust.Ejected
   }
 
   /**
-   * Guards against a target that hangs while its agent's stream is up: no outcome comes, so that no
-   * failure is ever counted. Several tasks of ours and no sign of life for many run times is taken
-   * for a hang; the next outcome ends it.
+   * Whether the target appears to hang while its agent's stream is up. A hanging target returns no outcome, so no
+   * failure is ever counted. Several outstanding tasks of this entry without any activity for many run times count as
+   * a hang; the next outcome ends it.
    */
   silent (now: number): boolean {
     return this.outstanding > (this.health.onProbation ? 0 : 1) && now >= this.#unresponsiveAt()
@@ -110,7 +113,7 @@
     return needs.memoryMegabytes === 0 || this.memoryMegabytes + needs.memoryMegabytes <= memoryMegabytes
   }
 
-  /** When something changes here by the passing of time alone; undefined when nothing does. */
+  /** When the state of this target next changes by the passing of time alone; undefined when it does not. */
   nextChange (now: number): number | undefined {
     if (!this.up) return undefined
     if (this.health.trust === Trust.Ejected) return this.health.probeAt
--- a/packages/coordination/src/transfers.ts
+++ b/packages/coordination/src/transfers.ts
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Sends a peer the job ids it now owns that are known here, and the jobs held here whose backup receipt it is to keep.
-   * The earlier backup may have been lost with the last change of members, or there was no entry to keep one.
+   * Sends a peer the job ids it now owns that are known here, and the jobs held here whose backup receipt it is to
+   * keep. The earlier backup may have been lost with the last change of members, or there was no entry to keep one.
    */
   send (peer: Instance): void {
     const receipts: Receipt[] = []
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Drops receipts that name `peer` for jobs it did not list. A member that has begun this epoch accepts no more of this
-   * entry's job ids, so a job it does not list is not held there: it has passed the job on.
+   * Drops receipts that name `peer` for jobs it did not list. A member that has begun this epoch accepts no more of
+   * this entry's job ids, so a job it does not list is not held there: it has passed the job on.
    */
   #dropOmitted (peer: Instance, receipts: readonly Receipt[]): void {
     const held = new Set(receipts.filter(receipt => receipt.executor === peer).map(receipt => receipt.job))
--- a/packages/coordination/src/view.ts
+++ b/packages/coordination/src/view.ts
@@ -1,13 +1,14 @@
 /**
- * Views of the entries as values: how two are merged, who is a member, and which name a set of
- * members has. Versions only rise and fences only add up, so that processes which learn the same
- * facts in any order come to the same members.
+ * Functions on views of the entries: merging two views, membership, and the name of a set of members.
+ *
+ * Versions only rise and fences are only added, so processes that receive the same facts in any order compute the same
+ * members.
  */
 import type { Instance, Member, View } from './messages.ts'
 
 export const EMPTY_VIEW: View = { version: 0, members: [], fenced: [] }
 
-/** Members that count: those of the store's view without the ones fenced since. */
+/** Current members: those of the store's view without the ones fenced since. */
 export function liveMembers (view: View): Member[] {
   return view.members.filter(member => !view.fenced.includes(member.instance))
 }
@@ -17,22 +18,22 @@
 }
 
 /**
- * Whether this view was made by first joins alone: each raises the version and the number of members by
- * one, and everything else raises the version only. No entry has gone, so nothing has been forgotten.
+ * Whether this view results from first joins only. Each of these raises both the version and the number of members by
+ * one, while any other change raises only the version. No entry has left, so no job record has been lost.
  */
 export function onlyJoinsSoFar (view: View): boolean {
   return view.version === view.members.length && view.fenced.length === 0
 }
 
-/** Name of a view and its fences: equal in all processes that see the same members. */
+/** Name of a view with its fences: equal in all processes that have the same members. */
 export function epochOf (view: View): string {
   const fenced = view.fenced.filter(instance => view.members.some(member => member.instance === instance))
   return [String(view.version), ...fenced.sort()].join('!')
 }
 
 /**
- * The newer of two views, with the fences of both that still concern a member. A fence on an
- * instance that is no member any more says nothing new: instances never come back.
+ * The newer of two views, with the fences of both that still concern a member. A fence on an instance that is no
+ * longer a member has no effect: instances never return.
  */
 export function mergeViews (left: View, right: View): View {
   const newer = right.version > left.version ? right : left
@@ -46,19 +47,19 @@
   return instance.split('#', 1)[0] ?? instance
 }
 
-/** The next view, with `member` added and every earlier incarnation of it removed. */
+/** The next view, with `member` added and all its earlier incarnations removed. */
 export function withMember (view: View, member: Member): View {
   const others = liveMembers(view).filter(other => idOf(other.instance) !== idOf(member.instance))
   return { version: view.version + 1, members: [...others, member], fenced: [] }
 }
 
-/** The next view without `removed` and without every fenced instance. */
+/** The next view without `removed` and without fenced instances. */
 export function withoutMembers (view: View, removed: readonly Instance[]): View {
   const members = liveMembers(view).filter(member => !removed.includes(member.instance))
   return { version: view.version + 1, members, fenced: [] }
 }
 
-/** The next view, in which `instance` owns no job ids any more. */
+/** The next view, in which `instance` is marked as leaving and owns no job ids any more. */
 export function withLeaving (view: View, instance: Instance): View {
   const members = liveMembers(view).map(member => member.instance === instance ? { ...member, leaving: true } : member)
   return { version: view.version + 1, members, fenced: [] }
--- a/packages/coordination/src/viewconfirmation.ts
+++ b/packages/coordination/src/viewconfirmation.ts
@@ -1,12 +1,13 @@
 /**
- * Whether an agent may still trust its view. It relies on its own clock alone: a reading that
- * it sent and got back bounds from below when the answer can have been made, so only the rates of
- * clocks matter and never their agreement.
+ * Whether an agent may still rely on its view.
  *
- * An agent may start tasks while the store confirmed its view at most `contact` milliseconds ago,
- * or while every entry of the view answered it within that time. The first lets the fleet go on
- * when an entry is lost, the second when the store is. An agent that has neither may stand on the
- * far side of a cut, where others have removed its entries and given their jobs to someone else.
+ * Only the agent's own clock is used. A heartbeat carries a reading of that clock and the answer returns it, which
+ * gives a lower bound on the time at which the answer was made. So clocks need not agree, only run at similar rates.
+ *
+ * An agent may start tasks while the store confirmed its view at most `contact` milliseconds ago, or while every
+ * entry of the view answered it within that time. The first condition lets the fleet continue when an entry is lost,
+ * the second when the store is. An agent that meets neither may be partitioned from processes that have removed its
+ * entries and reassigned their jobs.
  */
 import type { Instance, View } from './messages.ts'
 import { liveMembers } from './view.ts'
@@ -27,7 +28,7 @@
     this.#contact = contact
   }
 
-  /** Takes an entry's answer to a heartbeat in; `sent` is the agent's own clock reading. */
+  /** Records an entry's answer to a heartbeat; `sent` is the agent's own clock reading. */
   replied (entry: Instance, reply: Reply, version: number): void {
     const last = this.#repliedAt.get(entry) ?? Number.NEGATIVE_INFINITY
     this.#repliedAt.set(entry, Math.max(last, reply.sent))
@@ -38,6 +39,7 @@
     this.#confirmedAt = confirmedAt
   }
 
+  /** Whether the view is confirmed, so that tasks may start. */
   holds (view: View, now: number): boolean {
     const confirmed = this.#confirmedVersion === view.version && now - this.#confirmedAt <= this.#contact
     if (confirmed) return true
@@ -45,6 +47,7 @@
     return members.length > 0 && members.every(member => now - this.#lastReply(member.instance) <= this.#contact)
   }
 
+  /** Whether every member has answered at least one heartbeat. */
   everyMemberReplied (view: View): boolean {
     const members = liveMembers(view)
     return members.length > 0 && members.every(member => this.#repliedAt.has(member.instance))
--- a/packages/coordination/src/waitingjob.ts
+++ b/packages/coordination/src/waitingjob.ts
@@ -1,14 +1,14 @@
-/** Jobs that callers of an entry wait for. */
+/** Jobs whose answers callers of an entry wait for. */
 import type { Instance, Job } from './messages.ts'
 
-/** A job that callers of this entry wait for. */
+/** A job whose answer callers of this entry wait for. */
 export interface WaitingJob {
   job: Job
   submission: string
   requests: Set<string>
-  /** The entry it was handed to last; this entry's own name when it is held or parked here. */
+  /** The entry it was sent to last; this entry itself when the job is held or parked here. */
   sentTo: Instance | undefined
-  /** Entries it was sent to that have not answered: each may have taken it. */
+  /** Entries it was sent to that have not answered: each of them may have accepted it. */
   unresolved: Set<Instance>
   deadline: number
   rerouteAt: number
@@ -28,7 +28,7 @@
   }
 }
 
-/** Nobody waits for the answer any more. */
+/** Whether no caller waits for the answer any more. */
 export function isAbandoned (waiting: WaitingJob): boolean {
   return waiting.requests.size === 0
 }
--- a/packages/coordination/test/agent.test.ts
+++ b/packages/coordination/test/agent.test.ts
@@ -67,8 +67,8 @@
   expect(starts(from(servingAgent(), 'a', dispatch('job'), 10))).toEqual(['job'])
 })
 
-// A job would run twice: a new agent takes a task from the only entry it has reached, that entry is lost, and the others,
-// which have never been in contact with the agent, read only the ledgers they know of.
+// A job would run twice: a new agent takes a task from the only entry it has reached, that entry is lost, and the
+// others, which have never been in contact with the agent, read only the ledgers they know of.
 test('a new agent starts nothing before every entry of its view has answered it', () => {
   const agent = connectedAgent()
   from(agent, 'a', reply(0, 0), 1)
@@ -92,8 +92,8 @@
   expect(starts(agent.handle({ type: 'taskEnded', task: 1, ...ended }, 20))).toEqual([])
 })
 
-// An agent is replaced beside the same target while its task still runs. A dispatch meant for the old incarnation reaches
-// the new one, whose ledger is empty.
+// An agent is replaced beside the same target while its task still runs. A dispatch meant for the old incarnation
+// reaches the new one, whose ledger is empty.
 test('a dispatch for another incarnation of the agent is ignored', () => {
   expect(starts(from(servingAgent(), 'a', dispatch('job', 'x#0'), 10))).toEqual([])
 })
@@ -118,8 +118,8 @@
   expect(starts(from(agent, 'a', dispatch('job'), 60_010))).toEqual(['job'])
 })
 
-// A job would run twice: the agent has adopted a newer view than the entry that recalls the records of a lost entry. They
-// belong to a third entry by then, and the asking entry would take an empty answer as "never started".
+// A job would run twice: the agent has adopted a newer view than the entry that recalls the records of a lost entry.
+// They belong to a third entry by then, and the asking entry would take an empty answer as "never started".
 test('the answer to a recall names the epoch that the agent is in', () => {
   const agent = servingAgent()
   from(agent, 'b', { case: 'view', value: { view: view(3, 'b', 'c') } }, 5)
--- a/packages/coordination/test/claims.test.ts
+++ b/packages/coordination/test/claims.test.ts
@@ -107,8 +107,8 @@
   harness.fromPeer({ case: 'receiptKept', value: { job: job.key } })
 }
 
-// A job would be lost without a trace if the entry that owns it and the agent that runs it were lost together before any
-// other process had a record of it.
+// A job would be lost without a trace if the entry that owns it and the agent that runs it were lost together before
+// any other process had a record of it.
 test('nothing is dispatched before a second entry has the receipt', () => {
   const harness = new EntryHarness().serve()
   const job = jobOf('a')
--- a/packages/coordination/test/handover.test.ts
+++ b/packages/coordination/test/handover.test.ts
@@ -6,8 +6,8 @@
 const REMAINING = ['b', 'c', 'd'].map(instance => ({ instance, address: '', dataCentre: instance, leaving: false }))
 const ANSWER = { kind: AnswerKind.Complete, cause: Cause.None, detail: '', results: [], retryAfterMilliseconds: 0 }
 
-// A job would run twice in a rolling replacement if the stopping entry gave each answer to one entry only. When that one
-// is lost a second later, a resubmission finds no entry with a record of the job.
+// A job would run twice in a rolling replacement if the stopping entry gave each answer to one entry only. When that
+// one is lost a second later, a resubmission finds no entry with a record of the job.
 test('two entries have a record of each job after an entry has stopped', () => {
   const handover = handoverOf({ self: 'a', remaining: REMAINING, jobs: [{ key: 'tenant/1', digest: 'd', answer: ANSWER }], receipts: [] })
   const lists = [...handover.values()].map(receiptsOfJobs).filter(receipts => receipts.length > 0)
--- a/packages/coordination/test/ledger.test.ts
+++ b/packages/coordination/test/ledger.test.ts
@@ -29,7 +29,8 @@
   ledger.finish(number, { outcome: TaskOutcome.Succeeded, payload: new Uint8Array(bytes), detail: '', runMilliseconds: 1 }, now)
 }
 
-// A task would run twice: the link breaks after a dispatch was delivered, and the entry sends it again over the new link.
+// A task would run twice: the link breaks after a dispatch was delivered, and the entry sends it again over the new
+// link.
 test('a copy of a dispatch is known while the task runs', () => {
   const ledger = new Ledger(RETENTION, PAYLOAD_LIMIT)
   ledger.start(ledger.accept(dispatch(1), 'entry#1', 0), 0)
@@ -58,8 +59,8 @@
   expect([recall(), recall()]).toEqual([1, 1])
 })
 
-// A job would run twice: the job ids of a lost entry move on to a third entry before the second has used the records. The
-// third must receive them as well.
+// A job would run twice: the job ids of a lost entry move on to a third entry before the second has used the records.
+// The third must receive them as well.
 test('unclaimed records follow the job id to its next owner', () => {
   const ledger = new Ledger(RETENTION, PAYLOAD_LIMIT)
   runTask(ledger, 0, 1)
--- a/packages/coordination/test/membership.test.ts
+++ b/packages/coordination/test/membership.test.ts
@@ -55,9 +55,9 @@
   expect(writtenMembers(fixture)[0]).toEqual(['a', 'c'])
 })
 
-// A job would run twice: all older entries and their agents are cut off from the store and continue, as they must when the
-// store is down. A new entry joins through the store, receives nothing from them and removes them all. Their agents have
-// never been in contact with the new entry and never stop.
+// A job would run twice: all older entries and their agents are cut off from the store and continue, as they must
+// when the store is down. A new entry joins through the store, receives nothing from them and removes them all. Their
+// agents have never been in contact with the new entry and never stop.
 test('a new entry that no older entry knows removes no unresponsive entry', () => {
   const fixture = createMember('a', 'b')
   advance(fixture, 0, 8000)
@@ -130,8 +130,8 @@
   expect(isMember(fixture.membership.view, 'b')).toEqual(true)
 })
 
-// A view change took effect but its answer was lost. The writer must read the view back instead of writing again on top of
-// its old one.
+// A view change took effect but its answer was lost. The writer must read the view back instead of writing again on
+// top of its old one.
 test('a write of unknown outcome is followed by a read', () => {
   const { membership, effects } = createMember('a')
   membership.viewWritten()
--- a/packages/coordination/test/takeover.test.ts
+++ b/packages/coordination/test/takeover.test.ts
@@ -60,8 +60,8 @@
   expect(takeover.confirmMemoryLoss(2749)).toEqual(false)
 })
 
-// A job would run twice: every entry is replaced at once. The new ones read all ledgers that they can reach, but have no
-// record of the agent that was lost with the old entries.
+// A job would run twice: every entry is replaced at once. The new ones read all ledgers that they can reach, but have
+// no record of the agent that was lost with the old entries.
 test('ledgers are never complete when the earlier agents are unknown', () => {
   const takeover = createTakeover({})
   takeover.addUnknownAgents('unknown')
