--- a/packages/coordination/src/agenttypes.ts
+++ b/packages/coordination/src/agenttypes.ts
@@ -34,7 +34,7 @@
 
 /** State of an agent, as operators see it. */
 export enum AgentState {
-  /** Not yet known to every entry of the view: starts nothing. */
+  /** Not every entry of the view has answered yet: starts nothing. */
   Joining = 'joining',
   Serving = 'serving',
   /** Neither the view is confirmed nor does every entry respond: starts nothing. */
--- a/packages/coordination/src/jobintake.ts
+++ b/packages/coordination/src/jobintake.ts
@@ -35,7 +35,7 @@
   reply: Reply
   /** Whether callers of this entry waited for the job and all of them disconnected; drops the job in that case. */
   dropAbandoned: (job: JobKey) => boolean
-  /** Hands a job that callers of this entry wait for to another entry. */
+  /** Forwards a job that callers of this entry wait for to another entry. */
   forward: (job: JobKey, holder: Instance, now: number) => void
 }
 
--- a/packages/coordination/src/messages.ts
+++ b/packages/coordination/src/messages.ts
@@ -30,7 +30,7 @@
   Queued = 1,
   /** Started, without an outcome yet. */
   Running = 2,
-  /** An outcome is known. */
+  /** Has an outcome. */
   Finished = 3,
   /** Refused: this attempt never starts. */
   Refused = 4
@@ -43,7 +43,7 @@
   Complete = 1,
   /** Some task ran and failed. */
   Failed = 2,
-  /** It is not known whether some task ran. */
+  /** Some task may have run. */
   MayHaveRun = 3,
   /** No task of the job was started, and none will be for this submission. */
   Refused = 4
