--- a/packages/coordination/src/agentexchange.ts
+++ b/packages/coordination/src/agentexchange.ts
@@ -1,4 +1,4 @@
-/** What agents and an entry tell each other, apart from the dispatches. */
+/** Messages between agents and an entry, apart from dispatches. */
 import type { ConfigurationAdoption } from './adoption.ts'
 import type { AgentLinks } from './agentlinks.ts'
 import type { EntryContext } from './entrycontext.ts'
@@ -12,12 +12,15 @@
 import { handleMessage } from './messagehandlers.ts'
 import { ownerOf } from './rendezvous.ts'
 
-/** An agent is remembered until no job that it may have started for a lost entry is. */
+/**
+ * Multiple of the retention time for which a lost agent is kept, so that it outlasts every job that the agent may have
+ * started for a lost entry.
+ */
 const AGENT_RETENTION_FACTOR = 2
-/** Stands for a confirmation by the store that never came. */
+/** Confirmation age that is sent when the store has never confirmed the view. */
 const NEVER_CONFIRMED_MILLISECONDS = 1e12
 
-export interface AgentExchangeParts {
+export interface AgentExchangeDependencies {
   context: EntryContext
   agents: AgentLinks
   membership: Membership
@@ -25,11 +28,11 @@
   scheduler: Scheduler
   jobs: Jobs
   adoption: ConfigurationAdoption
-  /** Members of the epoch that was begun last. */
+  /** Members of the epoch that began last. */
   members: () => readonly Member[]
   hello: () => EntryToAgent
-  /** An agent has told what its ledger names. */
-  memoryProgressed: (now: number) => void
+  /** Called when an agent has sent its ledger records. */
+  memoryUpdated: (now: number) => void
 }
 
 export class AgentExchange {
@@ -42,34 +45,34 @@
   readonly #adoption: ConfigurationAdoption
   readonly #members: () => readonly Member[]
   readonly #hello: () => EntryToAgent
-  readonly #memoryProgressed: (now: number) => void
+  readonly #memoryUpdated: (now: number) => void
 
   readonly #handlers: MessageHandlers<AgentToEntry> = {
     announce: (agent, { target, report }, now) => this.#announced(agent, target, report, now),
     report: (agent, report, now) => {
       this.#scheduler.targetReport(agent, report, now)
-      this.#adoption.stated(agent, report.configurationVersion)
+      this.#adoption.noteVersion(agent, report.configurationVersion)
     },
     result: (agent, result, now) => this.#jobs.result(agent, result, now),
     recalled: (agent, { epoch, lines }, now) => {
       for (const line of lines) this.#jobs.adoptLine(agent, line, now)
       this.#takeover.recalled(agent, epoch)
-      this.#memoryProgressed(now)
+      this.#memoryUpdated(now)
     },
     heartbeat: (agent, heartbeat, now) => this.#heartbeat(agent, heartbeat, now)
   }
 
-  constructor (parts: AgentExchangeParts) {
-    this.#context = parts.context
-    this.#agents = parts.agents
-    this.#membership = parts.membership
-    this.#takeover = parts.takeover
-    this.#scheduler = parts.scheduler
-    this.#jobs = parts.jobs
-    this.#adoption = parts.adoption
-    this.#members = parts.members
-    this.#hello = parts.hello
-    this.#memoryProgressed = parts.memoryProgressed
+  constructor (dependencies: AgentExchangeDependencies) {
+    this.#context = dependencies.context
+    this.#agents = dependencies.agents
+    this.#membership = dependencies.membership
+    this.#takeover = dependencies.takeover
+    this.#scheduler = dependencies.scheduler
+    this.#jobs = dependencies.jobs
+    this.#adoption = dependencies.adoption
+    this.#members = dependencies.members
+    this.#hello = dependencies.hello
+    this.#memoryUpdated = dependencies.memoryUpdated
   }
 
   message (agent: Instance, message: AgentToEntry, now: number): void {
@@ -83,7 +86,7 @@
     this.#adoption.disconnected(agent)
   }
 
-  /** A new epoch: who is responsible for an agent may be another, and its ledger is asked for. */
+  /** Begins a new epoch: reassigns the responsibility for each agent and recalls its ledger records. */
   membersChanged (): void {
     for (const agent of this.#agents.live()) {
       this.#adoption.reassigned(agent, this.#responsibilityFor(agent))
@@ -91,7 +94,7 @@
     }
   }
 
-  /** Gives up agents that have been away for too long, and forgets the ones that matter to no job. */
+  /** Marks agents as lost that have been disconnected for too long, and removes those that are relevant to no job. */
   tick (now: number): void {
     const { agentLost, retention } = this.#context.timings
     for (const agent of this.#agents.overdue(agentLost, now)) this.#giveUp(agent, now)
@@ -105,16 +108,16 @@
     this.#context.sendAgent(agent, this.#hello())
     this.#scheduler.targetUp(agent, target, report, now)
     this.#adoption.connected(agent, report.configurationVersion, this.#responsibilityFor(agent), now)
-    this.#takeover.learned(agent, undefined, now)
+    this.#takeover.addAgent(agent, undefined, now)
     this.#recall(agent)
     this.#jobs.agentReconnected(agent, now)
   }
 
   #heartbeat (agent: Instance, heartbeat: { sent: number, viewVersion: number, configurationVersion: number }, now: number): void {
     const { view } = this.#membership
-    this.#membership.heardOf(heartbeat.viewVersion)
+    this.#membership.noteViewVersion(heartbeat.viewVersion)
     if (heartbeat.viewVersion < view.version) this.#context.sendAgent(agent, { case: 'view', value: { view } })
-    this.#adoption.stated(agent, heartbeat.configurationVersion)
+    this.#adoption.noteVersion(agent, heartbeat.configurationVersion)
     if (!this.#membership.joined) return
     const confirmedAgeMilliseconds = Math.min(this.#membership.confirmedAge(now), NEVER_CONFIRMED_MILLISECONDS)
     const value = { sent: heartbeat.sent, viewVersion: view.version, confirmedAgeMilliseconds }
@@ -133,7 +136,7 @@
     this.#context.sendAgent(agent, { case: 'recall', value: { epoch: this.#takeover.epoch, view: this.#membership.view } })
   }
 
-  /** One entry sends an agent new configurations at once; the others only when it stays behind. */
+  /** The owner of the agent's name sends it new configurations at once; the other entries only if it stays behind. */
   #responsibilityFor (agent: Instance): Responsibility {
     return ownerOf(agent, this.#members()) === this.#context.instance ? Responsibility.Own : Responsibility.Other
   }
--- a/packages/coordination/src/agenttasks.ts
+++ b/packages/coordination/src/agenttasks.ts
@@ -1,15 +1,15 @@
-/** The tasks at an agent, from the place that each is given to its end, each step in the ledger first. */
+/** The tasks at an agent, from admission to their end. Each step is recorded in the ledger first. */
 import type { AgentGuards } from './agentguards.ts'
 import type { AgentEffect, AgentEvent } from './agenttypes.ts'
 import type { Ledger } from './ledger.ts'
 import type { AgentToEntry, Dispatch, Instance, TaskReference } from './messages.ts'
 import type { Slots } from './slots.ts'
 
-export interface AgentTasksParts {
+export interface AgentTasksDependencies {
   slots: Slots
   ledger: Ledger
   guards: AgentGuards
-  /** Whether the agent is not cut off from the view. */
+  /** Whether the agent may start tasks, that is, whether it is not isolated from the view. */
   mayStart: (now: number) => boolean
   emit: (effect: AgentEffect) => void
   send: (entry: Instance, message: AgentToEntry) => void
@@ -22,19 +22,19 @@
   readonly #mayStart: (now: number) => boolean
   readonly #emit: (effect: AgentEffect) => void
   readonly #send: (entry: Instance, message: AgentToEntry) => void
-  /** By number in the ledger: those that wait for a slot, and those that run. */
+  /** Waiting and running tasks by their number in the ledger. */
   readonly #dispatches = new Map<number, Dispatch>()
   readonly #running = new Set<number>()
   #started = 0
   #refused = 0
 
-  constructor (parts: AgentTasksParts) {
-    this.#slots = parts.slots
-    this.#ledger = parts.ledger
-    this.#guards = parts.guards
-    this.#mayStart = parts.mayStart
-    this.#emit = parts.emit
-    this.#send = parts.send
+  constructor (dependencies: AgentTasksDependencies) {
+    this.#slots = dependencies.slots
+    this.#ledger = dependencies.ledger
+    this.#guards = dependencies.guards
+    this.#mayStart = dependencies.mayStart
+    this.#emit = dependencies.emit
+    this.#send = dependencies.send
   }
 
   get running (): number {
@@ -45,32 +45,32 @@
     return this.#dispatches.size - this.#running.size
   }
 
-  /** Tasks started since the agent began. */
+  /** Tasks started since the agent process started. */
   get started (): number {
     return this.#started
   }
 
-  /** Dispatches refused since the agent began. */
+  /** Dispatches refused since the agent process started. */
   get refused (): number {
     return this.#refused
   }
 
-  /** Starts a task that nothing stands against, lets it wait, or refuses it when no place is free. */
-  place (entry: Instance, dispatch: Dispatch, now: number): void {
+  /** Starts a task, queues it, or refuses it when neither a slot nor a place in the queue is free. */
+  admit (entry: Instance, dispatch: Dispatch, now: number): void {
     const number = this.#ledger.accept(dispatch, entry, now)
     const { needs, runMilliseconds, patienceMilliseconds } = dispatch
-    const place = this.#slots.offer({ id: number, entry, needs, runMilliseconds, patienceMilliseconds }, now)
-    if (place === 'full') {
+    const placement = this.#slots.offer({ id: number, entry, needs, runMilliseconds, patienceMilliseconds }, now)
+    if (placement === 'full') {
       const result = this.#ledger.withdraw(number, 'no slot is free', now)
       this.#refused += 1
       if (result !== undefined) this.#send(entry, { case: 'result', value: result })
       return
     }
     this.#dispatches.set(number, dispatch)
-    if (place === 'start') this.#start(number, now)
+    if (placement === 'start') this.#start(number, now)
   }
 
-  /** Refuses a dispatch for good: a late copy of it stays refused. */
+  /** Refuses a dispatch permanently: a late copy of it stays refused. */
   refuse (entry: Instance, dispatch: Dispatch, detail: string, now: number): void {
     this.#refused += 1
     this.#send(entry, { case: 'result', value: this.#ledger.refuse(dispatch, entry, detail, now) })
@@ -85,7 +85,7 @@
     this.#startNext(this.#slots.release(task), now)
   }
 
-  /** Aborts a task that runs, and gives one that waits back as not started. */
+  /** Aborts a running task; reports a waiting one as not started. */
   cancel (task: TaskReference, now: number): void {
     const number = this.#ledger.numberOf(task)
     if (number === undefined) return
@@ -94,16 +94,16 @@
       return
     }
     this.#slots.withdraw(number)
-    this.#giveBack(number, 'cancelled before it started', now)
+    this.#returnUnstarted(number, 'cancelled before it started', now)
   }
 
   /**
-   * Waiting tasks of an entry that was removed are refused for good, so that the entry that takes
-   * over may be told that they did not start.
+   * Permanently refuses the waiting tasks of a removed entry, so that the entry that takes over can be informed that
+   * they did not start.
    */
-  withdrawWaiting (concerns: (holder: Instance) => boolean, detail: string, now: number): void {
+  withdrawWaiting (matches: (holder: Instance) => boolean, detail: string, now: number): void {
     if (!this.#guards.fence) return
-    for (const number of this.#ledger.waitingOf(concerns)) {
+    for (const number of this.#ledger.queuedNumbers(matches)) {
       this.#slots.withdraw(number)
       this.#dispatches.delete(number)
       this.#ledger.withdraw(number, detail, now)
@@ -119,19 +119,19 @@
     this.#emit({ type: 'startTask', task: number, dispatch })
   }
 
-  /** A task that waited while the agent was cut off is refused, as it would be on arrival. */
+  /** Starts the next waiting tasks. While the agent is isolated they are refused, as they would be on arrival. */
   #startNext (numbers: number[], now: number): void {
     for (const number of numbers) {
       if (!this.#guards.isolation || this.#mayStart(now)) {
         this.#start(number, now)
         continue
       }
-      this.#giveBack(number, 'the agent is cut off from the view', now)
+      this.#returnUnstarted(number, 'the agent is cut off from the view', now)
       this.#startNext(this.#slots.release(number), now)
     }
   }
 
-  #giveBack (number: number, detail: string, now: number): void {
+  #returnUnstarted (number: number, detail: string, now: number): void {
     const result = this.#ledger.withdraw(number, detail, now)
     this.#dispatches.delete(number)
     if (result === undefined) return
--- a/packages/coordination/src/entryparts.ts
+++ b/packages/coordination/src/entrycomponents.ts
@@ -1,4 +1,4 @@
-/** The parts of an entry, and what each is handed of the others. */
+/** Creates the components of an entry and passes each its dependencies. */
 import type { ParseConfiguration } from './configurationexchange.ts'
 import type { MemoryLimits, Timings } from './defaults.ts'
 import type { EntryContext, EntryGuards } from './entrycontext.ts'
@@ -16,7 +16,7 @@
 import { Membership } from './membership.ts'
 import { PeerExchange } from './peerexchange.ts'
 import { PlannedStop } from './plannedstop.ts'
-import { RangeMemory } from './rangememory.ts'
+import { JobMemory } from './jobmemory.ts'
 import { Receipts } from './receipts.ts'
 import { Router } from './router.ts'
 import { Takeover } from './takeover.ts'
@@ -24,7 +24,7 @@
 
 export interface EntryOptions {
   instance: Instance
-  /** URL of the inner listener, as other processes reach it. */
+  /** URL of the inner listener, reachable by other processes. */
   address: string
   dataCentre: string
   scheduler: Scheduler
@@ -35,36 +35,36 @@
   timings?: Timings
   /** @default DEFAULT_MEMORY_LIMITS */
   limits?: MemoryLimits
-  /** Guards switched off, to show that a proof fails without them. @internal */
+  /** Guards to switch off, to show that a proof fails without them. @internal */
   guards?: EntryGuards
 }
 
-/** What the parts ask of the entry as a whole. */
+/** Callbacks from the components to the entry. */
 export interface EntryHooks {
   emit: (effect: EntryEffect) => void
   hello: () => EntryToAgent & PeerMessage
   /** Sends a heartbeat to every other entry at once. */
   heartbeat: (now: number) => void
-  /** Members of the epoch that was begun last. */
+  /** Members of the epoch that began last. */
   members: () => readonly Member[]
-  /** Members of the view in force, without this one. */
+  /** Members of the current view, without this entry. */
   otherMembers: () => readonly Member[]
   membersChanged: (now: number) => void
-  /** Something was learnt of what others hold or have started. */
-  memoryProgressed: (now: number) => void
+  /** Called when another process has sent the jobs it holds or the tasks it started. */
+  memoryUpdated: (now: number) => void
   ready: () => boolean
   settling: (now: number) => boolean
   stop: () => void
 }
 
-export interface EntryParts {
+export interface EntryComponents {
   readonly scheduler: Scheduler
   readonly adoption: ConfigurationAdoption
   readonly agents: AgentLinks
   readonly links: EntryLinks
   readonly membership: Membership
   readonly takeover: Takeover
-  readonly memory: RangeMemory
+  readonly memory: JobMemory
   readonly receipts: Receipts
   readonly jobs: Jobs
   readonly router: Router
@@ -75,17 +75,17 @@
   readonly plannedStop: PlannedStop
 }
 
-/** Makes the parts, each with what it needs of the others. */
-export function assemble (options: EntryOptions, hooks: EntryHooks): EntryParts {
+/** Creates all components of an entry. */
+export function assembleEntry (options: EntryOptions, hooks: EntryHooks): EntryComponents {
   const { scheduler, parseConfiguration: parse } = options
-  const { hello, members, otherMembers, membersChanged, memoryProgressed, ready, settling, stop } = hooks
+  const { hello, members, otherMembers, membersChanged, memoryUpdated, ready, settling, stop } = hooks
   const agents = new AgentLinks()
   const links = new EntryLinks(agents, hooks.emit)
   const adoption = new ConfigurationAdoption({ random: options.random })
   const context = newContext(options, hooks, links, agents, () => membership)
   const membership = newMembership(options, context, links)
   const takeover = new Takeover(context.timings)
-  const memory = new RangeMemory({ context, membership, takeover, agents })
+  const memory = new JobMemory({ context, membership, takeover, agents })
   const receipts = new Receipts(context.timings.retention)
   const jobs: Jobs = new Jobs(context, scheduler, (to, job, answer, now) => router.reply(to, job, answer, now))
   const horizon = (): number => memory.horizon
@@ -93,8 +93,8 @@
   const router = new Router({ context, jobs, receipts, takeover, horizon, ready, settling, inForce })
   const transfers = new Transfers({ context, jobs, receipts, agents, takeover, memory, members })
   const configurations = new ConfigurationExchange({ context, adoption, scheduler, parse, announce: hooks.heartbeat })
-  const agentExchange = new AgentExchange({ context, agents, membership, takeover, scheduler, jobs, adoption, members, hello, memoryProgressed })
-  const peerExchange = new PeerExchange({ context, links, membership, adoption, configurations, receipts, jobs, router, transfers, hello, membersChanged, memoryProgressed })
+  const agentExchange = new AgentExchange({ context, agents, membership, takeover, scheduler, jobs, adoption, members, hello, memoryUpdated })
+  const peerExchange = new PeerExchange({ context, links, membership, adoption, configurations, receipts, jobs, router, transfers, hello, membersChanged, memoryUpdated })
   const idle = (): boolean => jobs.open === 0 && router.waiting === 0
   const handOver = (): void => transfers.handOver(otherMembers())
   const plannedStop = new PlannedStop({ context, membership, otherMembers, idle, handOver, stop })
