--- a/packages/dispatch/src/crashreports.ts
+++ b/packages/dispatch/src/crashreports.ts
@@ -21,8 +21,8 @@
   /** Incarnation that refused connections until all its tasks had expired. If a new one follows, it has crashed. */
   #unreachable: string | undefined
 
-  constructor (parts: CrashReportsDependencies) {
-    this.#parts = parts
+  constructor (dependencies: CrashReportsDependencies) {
+    this.#parts = dependencies
   }
 
   /** All current records, for an entry that has connected. */
--- a/packages/dispatch/src/entrysessions.ts
+++ b/packages/dispatch/src/entrysessions.ts
@@ -41,10 +41,10 @@
   readonly #held: HeldTasks
   readonly #sessions = new Map<string, EntrySession>()
 
-  constructor (parts: EntrySessionsDependencies) {
-    this.#parts = parts
-    this.#context = parts.context
-    this.#held = parts.held
+  constructor (dependencies: EntrySessionsDependencies) {
+    this.#parts = dependencies
+    this.#context = dependencies.context
+    this.#held = dependencies.held
   }
 
   /** Number of connected entries. */
--- a/packages/dispatch/src/evacuationguard.ts
+++ b/packages/dispatch/src/evacuationguard.ts
@@ -22,8 +22,8 @@
   readonly #known = new Evacuations()
   #lastReadAt = Number.NEGATIVE_INFINITY
 
-  constructor (parts: EvacuationGuardDependencies) {
-    this.#parts = parts
+  constructor (dependencies: EvacuationGuardDependencies) {
+    this.#parts = dependencies
   }
 
   forbids (dataCentre: string | undefined): boolean {
--- a/packages/dispatch/src/leasegrants.ts
+++ b/packages/dispatch/src/leasegrants.ts
@@ -33,10 +33,10 @@
   readonly #context: AgentContext
   readonly #held: HeldTasks
 
-  constructor (parts: LeaseGrantsDependencies) {
-    this.#parts = parts
-    this.#context = parts.context
-    this.#held = parts.held
+  constructor (dependencies: LeaseGrantsDependencies) {
+    this.#parts = dependencies
+    this.#context = dependencies.context
+    this.#held = dependencies.held
   }
 
   /** Interval of the pings to an entry with tasks at the target, in milliseconds. */
--- a/packages/dispatch/src/targetcapacity.ts
+++ b/packages/dispatch/src/targetcapacity.ts
@@ -34,8 +34,8 @@
   readonly #withheld = new Map<string, UntrackedRun>()
   readonly #left = new Map<string, FormerTask>()
 
-  constructor (parts: TargetCapacityDependencies) {
-    this.#parts = parts
+  constructor (dependencies: TargetCapacityDependencies) {
+    this.#parts = dependencies
   }
 
   /** Number of runs without a held task, including stopped ones that may still use capacity. */
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -81,11 +81,11 @@
     [StartAnswer.Silent]: (held, now) => this.#startUnanswered(held, now)
   }
 
-  constructor (parts: TaskRunsDependencies) {
-    this.#parts = parts
-    this.#context = parts.context
-    this.#held = parts.held
-    this.#target = parts.target
+  constructor (dependencies: TaskRunsDependencies) {
+    this.#parts = dependencies
+    this.#context = dependencies.context
+    this.#held = dependencies.held
+    this.#target = dependencies.target
   }
 
   // Starting
--- a/packages/dispatch/test/answertimes.test.ts
+++ b/packages/dispatch/test/answertimes.test.ts
@@ -4,7 +4,7 @@
 import { AnswerTimes } from '../src/answertimes.ts'
 import { AgentBench, order, TARGET } from './agentbench.ts'
 
-function timesOf (...answers: number[]): AnswerTimes {
+function answerTimesAfter (...answers: number[]): AnswerTimes {
   const times = new AnswerTimes()
   for (const took of answers) times.noteAnswer(took)
   return times
@@ -15,11 +15,11 @@
 })
 
 test('fast answers reduce the timeout to its minimum', () => {
-  expect(timesOf(...Array.from({ length: 20 }, () => 3)).limit).toEqual(25)
+  expect(answerTimesAfter(...Array.from({ length: 20 }, () => 3)).limit).toEqual(25)
 })
 
 test('slow and irregular answers raise the timeout up to its maximum', () => {
-  const times = timesOf(...Array.from({ length: 20 }, (_none, index) => index % 2 === 0 ? 5 : 25))
+  const times = answerTimesAfter(...Array.from({ length: 20 }, (_none, index) => index % 2 === 0 ? 5 : 25))
   expect(times.limit > 25 && times.limit < 120).toEqual(true)
   for (let index = 0; index < 20; index += 1) times.noteAnswer(index % 2 === 0 ? 5 : 200)
   expect(times.limit).toEqual(120)
--- a/packages/dispatch/test/departures.test.ts
+++ b/packages/dispatch/test/departures.test.ts
@@ -92,7 +92,7 @@
 ]
 
 for (const seed of SEEDS) {
-  test(`seed ${seed} of orders that reach the next life of a target starts nothing twice`, () => {
+  test(`seed ${seed} of orders that reach a new incarnation of a target starts no task twice`, () => {
     expect(runSeed(seed, Theme.Lateness, { only: 'nextLifeUnstopped' }).violation).toEqual(undefined)
   })
 }
--- a/packages/dispatch/test/evacuations.test.ts
+++ b/packages/dispatch/test/evacuations.test.ts
@@ -8,14 +8,14 @@
 
 const ENTRY = 'entry-1#a'
 
-function entryWith (...dataCentres: string[]): EntryBench {
+function entryWithAgentsIn (...dataCentres: string[]): EntryBench {
   const bench = EntryBench.withAgents()
   for (const dataCentre of dataCentres) bench.link(dataCentre, { dataCentre })
   bench.take()
   return bench
 }
 
-function read (bench: EntryBench, revision: number, ...dataCentres: string[]): void {
+function readEvacuations (bench: EntryBench, revision: number, ...dataCentres: string[]): void {
   bench.do({ type: 'evacuationsRead', state: { revision, dataCentres } })
 }
 
@@ -35,26 +35,26 @@
 })
 
 test('an entry places nothing in an evacuated data centre', () => {
-  const bench = entryWith('one', 'two')
-  read(bench, 5, 'one')
+  const bench = entryWithAgentsIn('one', 'two')
+  readEvacuations(bench, 5, 'one')
   bench.take()
   bench.submit('job', [step(6)])
   expect(bench.starts().map(start => start.split(' ')[0])).toEqual(['two', 'two', 'two', 'two'])
 })
 
 test('tasks that run in a data centre finish there when it is evacuated', () => {
-  const bench = entryWith('one')
+  const bench = entryWithAgentsIn('one')
   const request = bench.submit('job')
-  read(bench, 5, 'one')
+  readEvacuations(bench, 5, 'one')
   expect(bench.stops()).toEqual([])
   bench.end('one', 'job.0.0')
   expect(bench.answers()).toEqual([[request, 'completed']])
 })
 
 test('a data centre takes tasks again when the evacuation is revoked', () => {
-  const bench = entryWith('one')
-  read(bench, 5, 'one')
-  read(bench, 6)
+  const bench = entryWithAgentsIn('one')
+  readEvacuations(bench, 5, 'one')
+  readEvacuations(bench, 6)
   bench.take()
   bench.submit('job')
   expect(bench.starts()).toEqual(['one job.0.0 1'])
@@ -62,34 +62,34 @@
 
 // A job that waits until its deadline while all data centres are evacuated blocks its caller for nothing.
 test('a job is refused at once while every data centre is evacuated', () => {
-  const bench = entryWith('one', 'two')
-  read(bench, 5, 'one', 'two')
+  const bench = entryWithAgentsIn('one', 'two')
+  readEvacuations(bench, 5, 'one', 'two')
   const request = bench.submit('job')
   expect(bench.answers()).toEqual([[request, 'refused evacuated']])
 })
 
 test('a job that waits is refused when the last data centre is evacuated', () => {
-  const bench = entryWith('one')
+  const bench = entryWithAgentsIn('one')
   bench.submit('first', [step(4)])
   const waiting = bench.submit('second')
-  read(bench, 5, 'one')
+  readEvacuations(bench, 5, 'one')
   bench.now += 20
   bench.do({ type: 'tick' })
   expect(bench.answers()).toEqual([[waiting, 'refused evacuated']])
 })
 
 test('agents are sent the evacuations before the first start on a link, and after each change', () => {
-  const bench = entryWith('one')
-  read(bench, 5, 'one')
+  const bench = entryWithAgentsIn('one')
+  readEvacuations(bench, 5, 'one')
   expect(sentToAgents(bench)).toEqual(['one one', 'one one'])
-  read(bench, 6, 'one')
+  readEvacuations(bench, 6, 'one')
   expect(sentToAgents(bench)).toEqual([])
   bench.link('two', { dataCentre: 'two' })
   expect(sentToAgents(bench)).toEqual(['two one'])
 })
 
 test('an entry that cannot read the store receives evacuations from another entry', () => {
-  const bench = entryWith('one', 'two')
+  const bench = entryWithAgentsIn('one', 'two')
   bench.peer('other')
   bench.hear('other', { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } })
   bench.take()
@@ -98,9 +98,9 @@
 })
 
 test('the state is sent to an entry with an older one, but not to an entry with the same one', () => {
-  const bench = entryWith('one')
+  const bench = entryWithAgentsIn('one')
   bench.peer('other')
-  read(bench, 9, 'one')
+  readEvacuations(bench, 9, 'one')
   bench.take()
   bench.hear('other', { type: 'evacuations', state: { revision: 8, dataCentres: ['one'] } })
   expect(bench.told('other')).toEqual([])
@@ -111,7 +111,7 @@
 // The entry has not received the evacuation. Guards against counting each refusal as an attempt: after sixty refusals of one task
 // its job was abandoned although another data centre had free capacity.
 test('a start that an agent refuses for an evacuation is placed elsewhere and does not count as an attempt', () => {
-  const bench = entryWith('one', 'two')
+  const bench = entryWithAgentsIn('one', 'two')
   bench.submit('job')
   bench.do({ type: 'agentMessage', agent: 'one', message: { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } } })
   bench.end('one', 'job.0.0', Outcome.NotStarted, Cause.Evacuated)
@@ -153,8 +153,8 @@
 })
 
 test('an entry that cannot read the store reports this to its agents', () => {
-  const bench = entryWith('one')
-  read(bench, 5)
+  const bench = entryWithAgentsIn('one')
+  readEvacuations(bench, 5)
   bench.take()
   bench.pass(2500, ['one'])
   const confirmations = bench.take().flatMap(effect => effect.type === 'send' && effect.message.type === 'evacuations' ? [effect.message.confirmed] : [])
--- a/packages/dispatch/test/leavingtargets.test.ts
+++ b/packages/dispatch/test/leavingtargets.test.ts
@@ -7,7 +7,7 @@
 import { EntryBench, NO_LOAD, step } from './entrybench.ts'
 
 const DRAIN = 1500
-const USES = { drain: DRAIN, policy: { usesLeaving: true } }
+const USES_LEAVING = { drain: DRAIN, policy: { usesLeaving: true } }
 
 /** Starts a task and returns its immediate end; empty if the start was sent to the target. */
 function tryStart (bench: AgentBench, task: string, expected = 300): string[] {
@@ -31,13 +31,13 @@
 })
 
 test('a leaving target that states no remaining time gets no tasks', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true })
   expect(tryStart(bench, 'a')).toEqual(['a notStarted leaving'])
 })
 
 test('a leaving target gets tasks that can end in time', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 1000 })
   expect(announcedRemaining(bench)).toEqual(1000)
   expect(tryStart(bench, 'long', 1000)).toEqual(['long notStarted leaving'])
@@ -46,7 +46,7 @@
 
 // By the users' rule no task starts there later than `drain` after the acknowledgement. Each heartbeat repeats the notice.
 test('no task starts later than the drain time after the first heartbeat with the notice', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.pass(DRAIN - MAX_START_TIMEOUT_MILLISECONDS - 10)
   bench.seen({ leaving: true, remaining: 5000 })
@@ -56,7 +56,7 @@
 })
 
 test('entries are informed when a leaving target takes no more tasks', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   expect(announcedRemaining(bench)).toEqual(5000)
   bench.take()
@@ -67,7 +67,7 @@
 
 // An earlier incarnation of the agent has acknowledged the notice at an unknown time.
 test('an agent that finds its target already leaving starts no tasks there', () => {
-  const bench = new AgentBench(undefined, USES)
+  const bench = new AgentBench(undefined, USES_LEAVING)
   bench.do({ type: 'targetRemembered', facts: TARGET })
   bench.link()
   bench.polled()
@@ -77,7 +77,7 @@
 
 // The steady clock of the machine stands still while the drain time passes.
 test('after a suspension no task starts at a leaving target', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.do({ type: 'woke', asleep: 3000 })
   bench.seen({ leaving: true, remaining: 5000 })
@@ -86,7 +86,7 @@
 
 // A frozen process reads a heartbeat seconds after it was sent.
 test('the time that a heartbeat spent in a queue is subtracted from the remaining time', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.pass(1000)
   bench.polled()
   bench.do({ type: 'targetSeen', facts: { ...TARGET, leaving: true, remaining: 1000 }, sequence: 9, clock: bench.now - 600 })
@@ -94,7 +94,7 @@
 })
 
 test('an agent that is stopping does not offer its leaving target', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.do({ type: 'stopOrdered' })
   expect(announcedRemaining(bench)).toEqual(undefined)
@@ -102,7 +102,7 @@
 })
 
 test('a leaving target that stops responding is withdrawn', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.run('a')
   bench.pollFailed(PollFailure.Silent)
@@ -112,7 +112,7 @@
 
 // The target crashes after its notice, before the announced end.
 test('a leaving target that refuses connections is withdrawn, and its tasks end when their lease expires', () => {
-  const bench = AgentBench.ready(USES, NEW_ID_EACH_INCARNATION)
+  const bench = AgentBench.ready(USES_LEAVING, NEW_ID_EACH_INCARNATION)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.run('a')
   bench.take()
@@ -124,7 +124,7 @@
 })
 
 test('a target that takes work again is used like any other', () => {
-  const bench = AgentBench.ready(USES)
+  const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 100 })
   bench.seen()
   expect(tryStart(bench, 'a', 3000)).toEqual([])
--- a/packages/dispatch/test/quietlinks.test.ts
+++ b/packages/dispatch/test/quietlinks.test.ts
@@ -4,7 +4,7 @@
 import { AllocationRole } from '../src/messages.ts'
 import { AgentBench, ENTRY, order, TIMINGS } from './agentbench.ts'
 
-const OTHER = 'entry-2#a'
+const OTHER_ENTRY = 'entry-2#a'
 
 function sendRole (bench: AgentBench, role = AllocationRole.Asks, entry = ENTRY): void {
   bench.do({ type: 'entryMessage', entry, message: { type: 'role', role } })
@@ -75,12 +75,12 @@
 // Guards against sending freed capacity only with the next ping, up to half a second later.
 test('an entry that allocates capacity is sent the starts of other entries, and at once the capacity that they free', () => {
   const bench = AgentBench.ready()
-  bench.link(OTHER)
-  sendRole(bench, AllocationRole.Allocates, OTHER)
+  bench.link(OTHER_ENTRY)
+  sendRole(bench, AllocationRole.Allocates, OTHER_ENTRY)
   bench.run('job.0.0')
   bench.take()
   bench.polled([], [{ number: 1, task: 'job.0.0', run: 1, end: RunEnd.Done }])
-  const messages = bench.of('send').filter(({ entry }) => entry === OTHER).map(({ message }) => message)
+  const messages = bench.of('send').filter(({ entry }) => entry === OTHER_ENTRY).map(({ message }) => message)
   expect(messages).toEqual([{ type: 'load', load: { pace: expect.a(Number), others: { cpu: 0, memory: 0, accelerators: 0 }, taken: ['job.0.0'] } }])
 })
 
