--- a/packages/dispatch/src/allocationclient.ts
+++ b/packages/dispatch/src/allocationclient.ts
@@ -4,8 +4,8 @@
 import type { JobQueue } from './jobqueue.ts'
 import type { AllocationMessage, RequestedStep } from './peermessages.ts'
 import {
-  ALLOCATOR_SILENCE_MILLISECONDS, ANSWER_PROBE_MILLISECONDS, ANSWER_TIME_RATE, FAR_ROOM_FACTOR,
-  QUICK_ANSWER_MILLISECONDS, SLOW_ANSWER_MILLISECONDS
+  ALLOCATOR_TIMEOUT_MILLISECONDS, ANSWER_PROBE_INTERVAL_MILLISECONDS, ANSWER_TIME_WEIGHT, REMOTE_CAPACITY_FACTOR,
+  FAST_ANSWER_MILLISECONDS, SLOW_ANSWER_MILLISECONDS
 } from './defaults.ts'
 import { HOLDER_TIMEOUT_MILLISECONDS, REQUEST_TIMEOUT_MILLISECONDS } from './partitiondefaults.ts'
 import { endOfStep, JobState } from './job.ts'
@@ -104,7 +104,7 @@
 
   /** Whether to send a request while answers are slow, to measure whether they still are; at most once per probe interval. */
   shouldProbe (now: number): boolean {
-    if (this.#toRequest.size === 0 || now - this.#probedAt < ANSWER_PROBE_MILLISECONDS) return false
+    if (this.#toRequest.size === 0 || now - this.#probedAt < ANSWER_PROBE_INTERVAL_MILLISECONDS) return false
     this.#probedAt = now
     return true
   }
@@ -186,7 +186,7 @@
     const unanswered: Array<{ peer: string, asked: number }> = []
     for (const [job, { peer, waits, heardAt }] of this.#asked) {
       const asked = now - Math.max(heardAt, since)
-      if (asked < allowance + (waits ? ALLOCATOR_SILENCE_MILLISECONDS : REQUEST_TIMEOUT_MILLISECONDS)) continue
+      if (asked < allowance + (waits ? ALLOCATOR_TIMEOUT_MILLISECONDS : REQUEST_TIMEOUT_MILLISECONDS)) continue
       this.#withdraw(job)
       this.#jobsWithoutAnswer.add(job)
       this.#toRequest.add(job)
@@ -275,9 +275,9 @@
     const pending = this.#asked.get(job)
     if (pending?.peer !== peer) return false
     const took = Math.max(0, now - pending.at - waited)
-    this.#answerTime = this.#unanswered ? took : this.#answerTime + (took - this.#answerTime) * ANSWER_TIME_RATE
+    this.#answerTime = this.#unanswered ? took : this.#answerTime + (took - this.#answerTime) * ANSWER_TIME_WEIGHT
     this.#unanswered = false
-    const slow = this.#answerTime > (this.#slow ? QUICK_ANSWER_MILLISECONDS : SLOW_ANSWER_MILLISECONDS)
+    const slow = this.#answerTime > (this.#slow ? FAST_ANSWER_MILLISECONDS : SLOW_ANSWER_MILLISECONDS)
     if (slow === this.#slow) return false
     this.#slow = slow
     this.#dependencies.note(slow ? 'capacity requests are answered slowly' : 'capacity requests are answered quickly again', { milliseconds: Math.round(this.#answerTime) })
@@ -323,7 +323,7 @@
   /** The group other than the home group with the most free capacity that another entry allocates; undefined when none has ample capacity. */
   #groupWithCapacity (need: number, tried: ReadonlySet<string>): string | undefined {
     let best: string | undefined
-    let highest = need * FAR_ROOM_FACTOR
+    let highest = need * REMOTE_CAPACITY_FACTOR
     for (const [group, free] of this.#freeCapacity) {
       if (group === this.#dependencies.home() || tried.has(group) || free < highest || this.#dependencies.allocatorOf(group) === undefined) continue
       best = group
--- a/packages/dispatch/src/partitionchoice.ts
+++ b/packages/dispatch/src/partitionchoice.ts
@@ -1,6 +1,6 @@
 /** Chooses the entry from whose partition capacity is requested. */
 import { hashString } from '@amaranthmast/coordination/rendezvous'
-import { FAR_ROOM_FACTOR } from './defaults.ts'
+import { REMOTE_CAPACITY_FACTOR } from './defaults.ts'
 import { LOCAL_WEIGHT } from './partitiondefaults.ts'
 import { drawWeighted } from './partitions.ts'
 
@@ -26,7 +26,7 @@
  * @param minCpu processors of its smallest task, in thousandths of a core
  */
 export function choosePartition (job: string, neededCpu: number, minCpu: number, partitions: readonly PartitionCapacity[]): string | undefined {
-  const ample = partitions.filter(({ free }) => free >= neededCpu * FAR_ROOM_FACTOR)
+  const ample = partitions.filter(({ free }) => free >= neededCpu * REMOTE_CAPACITY_FACTOR)
   const sufficient = ample.length > 0 ? ample : partitions.filter(({ free }) => free >= minCpu)
   const eligible = sufficient.length > 0 ? sufficient : partitions.filter(({ free }) => free === UNKNOWN_CAPACITY)
   return drawWeighted(hashString(job), eligible, ({ free, near }) => Math.max(1, free) * (near ? LOCAL_WEIGHT : 1))?.name
--- a/packages/dispatch/src/peerwatch.ts
+++ b/packages/dispatch/src/peerwatch.ts
@@ -4,7 +4,7 @@
 import type { AllocationClient } from './allocationclient.ts'
 import type { AllocatorMap } from './allocatormap.ts'
 import type { AllocationUpdates } from './roomnews.ts'
-import { ALLOCATOR_SILENCE_MILLISECONDS, PEER_SILENCE_MILLISECONDS } from './defaults.ts'
+import { ALLOCATOR_TIMEOUT_MILLISECONDS, PEER_TIMEOUT_MILLISECONDS } from './defaults.ts'
 import { HOLDER_TIMEOUT_MILLISECONDS, UNRESPONSIVE_PAUSE_MILLISECONDS } from './partitiondefaults.ts'
 
 /** Number of member intervals without a message after which a holder counts as unresponsive. */
@@ -45,11 +45,11 @@
     for (const group of map.groups) {
       const allocator = map.allocatorOf(group)
       if (allocator === undefined || allocator === name) continue
-      if (now - Math.max(peers.heardAt(allocator), this.#allocatorsChangedAt) >= PEER_SILENCE_MILLISECONDS) peers.suspect(allocator)
+      if (now - Math.max(peers.heardAt(allocator), this.#allocatorsChangedAt) >= PEER_TIMEOUT_MILLISECONDS) peers.suspect(allocator)
     }
     let unresponsive = false
     for (const { peer, at } of client.awaitingAnswer()) {
-      if (now - Math.max(at, peers.heardAt(peer)) < ALLOCATOR_SILENCE_MILLISECONDS) continue
+      if (now - Math.max(at, peers.heardAt(peer)) < ALLOCATOR_TIMEOUT_MILLISECONDS) continue
       note('allocator unresponsive', { entry: peer, asked: Math.round(now - at) })
       peers.suspect(peer)
       unresponsive = true
--- a/packages/dispatch/src/roomnews.ts
+++ b/packages/dispatch/src/roomnews.ts
@@ -3,7 +3,7 @@
 import type { AllocatorMap } from './allocatormap.ts'
 import type { MemberFacts, AllocationMessage } from './peermessages.ts'
 import { hashString } from '@amaranthmast/coordination/rendezvous'
-import { MEMBER_INTERVAL_MILLISECONDS, ROOM_CHANGE_PART, ROOM_INTERVAL_MILLISECONDS } from './defaults.ts'
+import { MEMBER_INTERVAL_MILLISECONDS, CAPACITY_CHANGE_FRACTION, CAPACITY_REPORT_INTERVAL_MILLISECONDS } from './defaults.ts'
 import { MEMBER_MESSAGES_PER_SECOND, LOCAL_WEIGHT, MAX_UPDATE_INTERVAL_MILLISECONDS, MAX_UPDATE_RECIPIENTS } from './partitiondefaults.ts'
 import { drawRank } from './partitions.ts'
 
@@ -51,7 +51,7 @@
 
   sendFreeCapacity (now: number): void {
     const { map, name, partitions, freeOf } = this.#dependencies
-    if (now - this.#freeCapacityCheckedAt < ROOM_INTERVAL_MILLISECONDS) return
+    if (now - this.#freeCapacityCheckedAt < CAPACITY_REPORT_INTERVAL_MILLISECONDS) return
     this.#freeCapacityCheckedAt = now
     if (partitions) return this.#sendPartitionUpdate(now)
     for (const group of map.groups) {
@@ -85,7 +85,7 @@
 
   #changed (group: string, free: number): boolean {
     const sent = this.#sentFreeCapacity.get(group)
-    if (sent !== undefined && Math.abs(free - sent) <= ROOM_CHANGE_PART * sent) return false
+    if (sent !== undefined && Math.abs(free - sent) <= CAPACITY_CHANGE_FRACTION * sent) return false
     this.#sentFreeCapacity.set(group, free)
     return true
   }
--- a/packages/dispatch/src/targetgroups.ts
+++ b/packages/dispatch/src/targetgroups.ts
@@ -1,5 +1,5 @@
 /** Groups of targets; one entry allocates the capacity of a group. */
-import { GROUP_TARGETS } from './defaults.ts'
+import { MIN_GROUP_TARGETS } from './defaults.ts'
 
 /** Group of all targets in data centres that are too small for their own group. */
 const SMALL_DATA_CENTRES = ''
@@ -21,7 +21,7 @@
 
   /** The group of the targets in a data centre. */
   of (dataCentre: string): string {
-    return (this.#sizes.get(dataCentre) ?? 0) >= GROUP_TARGETS ? dataCentre : SMALL_DATA_CENTRES
+    return (this.#sizes.get(dataCentre) ?? 0) >= MIN_GROUP_TARGETS ? dataCentre : SMALL_DATA_CENTRES
   }
 
   /** The group that an entry in the data centre requests from first. */
--- a/packages/dispatch/test/capacityallocation.test.ts
+++ b/packages/dispatch/test/capacityallocation.test.ts
@@ -1,7 +1,7 @@
 import type { PeerMessage } from '../src/peermessages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { ALLOCATOR_SILENCE_MILLISECONDS, GRANT_MILLISECONDS, GROUP_TARGETS, SETTLING_MILLISECONDS } from '../src/defaults.ts'
+import { ALLOCATOR_TIMEOUT_MILLISECONDS, GRANT_TIMEOUT_MILLISECONDS, MIN_GROUP_TARGETS, SETTLING_MILLISECONDS } from '../src/defaults.ts'
 import { Cause, Outcome } from '../src/messages.ts'
 import { EntryBench, QUEUE, step } from './entrybench.ts'
 
@@ -82,7 +82,7 @@
   bench.hear('other', { type: 'release', grants: [{ task: 'first.0.0', agent: 'one' }] })
   expect(grants(bench)).toEqual(['second.0.0 one'])
   bench.take()
-  bench.pass(GRANT_MILLISECONDS + 50, ['one'])
+  bench.pass(GRANT_TIMEOUT_MILLISECONDS + 50, ['one'])
   expect(grants(bench)).toEqual(['second.0.1 one'])
 })
 
@@ -129,7 +129,7 @@
 test('a job does not wait for an unresponsive allocator', () => {
   const bench = asking('one')
   bench.submit('job')
-  bench.pass(ALLOCATOR_SILENCE_MILLISECONDS + 50, ['one'])
+  bench.pass(ALLOCATOR_TIMEOUT_MILLISECONDS + 50, ['one'])
   expect(bench.starts()).toEqual(['one job.0.0 1'])
 })
 
@@ -173,7 +173,7 @@
 function withTwoGroups (): EntryBench {
   const bench = new EntryBench()
   bench.do({ type: 'configured', configuration: { version: 1, queues: [QUEUE], limits: { header: 0, body: 0, headerTimeout: 0, idleTimeout: 0 } } })
-  const names = Array.from({ length: 2 * GROUP_TARGETS }, (_none, index) => `agent${index}`)
+  const names = Array.from({ length: 2 * MIN_GROUP_TARGETS }, (_none, index) => `agent${index}`)
   for (const [index, name] of names.entries()) bench.link(name, { dataCentre: index % 2 === 0 ? 'one' : 'two' })
   bench.peer('far', 1, 'two')
   bench.pass(SETTLED_MILLISECONDS, names)
@@ -197,19 +197,19 @@
 test('the free capacity of a group is reported to the others, and again when it has changed', () => {
   const bench = withTwoGroups()
   const reported = (): number[] => messages(bench, 'far', 'room').map(({ free }) => free)
-  expect(reported()).toEqual([GROUP_TARGETS * 8000])
+  expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000])
   bench.submit('small')
   bench.pass(200)
-  expect(reported()).toEqual([GROUP_TARGETS * 8000])
-  bench.submit('large', [step(GROUP_TARGETS)])
+  expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000])
+  bench.submit('large', [step(MIN_GROUP_TARGETS)])
   bench.pass(200)
-  expect(reported()).toEqual([GROUP_TARGETS * 8000, GROUP_TARGETS * 6000 - 2000])
+  expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000, MIN_GROUP_TARGETS * 6000 - 2000])
 })
 
 test('an entry whose own group is full requests capacity elsewhere', () => {
   const bench = withTwoGroups()
   bench.hear('far', { type: 'room', group: 'two', free: 100_000 })
-  bench.submit('filler', [step(4 * GROUP_TARGETS)])
+  bench.submit('filler', [step(4 * MIN_GROUP_TARGETS)])
   bench.take()
   bench.submit('job')
   expect(messages(bench, 'far', 'ask').map(({ job }) => job)).toEqual(['job'])
