--- a/packages/bench/src/ideal.ts
+++ b/packages/bench/src/ideal.ts
@@ -8,7 +8,7 @@
  * average; a single job can come out below it when others were slower.
  */
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
-import { ORDER_FACTOR } from '@amaranthmast/coordination/schedulingdefaults'
+import { OVERTAKING_FACTOR } from '@amaranthmast/coordination/schedulingdefaults'
 import { EventLoop } from './eventloop.ts'
 import { AGENT_LEG, CLIENT_LEG } from './latencies.ts'
 import type { ModelJob } from './workload.ts'
@@ -19,7 +19,7 @@
 }
 
 /** Response time of each job under the ideal, in milliseconds, by job key. */
-export function idealResponses (jobs: readonly ModelJob[], slots: number, orderFactor = ORDER_FACTOR): Map<string, number> {
+export function idealResponses (jobs: readonly ModelJob[], slots: number, orderFactor = OVERTAKING_FACTOR): Map<string, number> {
   const loop = new EventLoop()
   const waiting = new IndexedHeap<WaitingTask>()
   const left = new Map<string, number>()
--- a/packages/bench/src/model.ts
+++ b/packages/bench/src/model.ts
@@ -286,7 +286,7 @@
   #cancel (held: OpenTask): void {
     const { agent, id } = held
     if (!agent.held.has(id)) return
-    if (!agent.slots.withdraw(id)) {
+    if (!agent.slots.cancelWaiting(id)) {
       this.#end(agent, held, TaskOutcome.MayHaveRun, 0)
       return
     }
@@ -362,7 +362,7 @@
 
   #sendReports (agent: ModelAgent): void {
     if (!agent.linked) return
-    for (const instance of agent.slots.changedReports()) {
+    for (const instance of agent.slots.entriesToReport()) {
       const entry = this.#entries.find(other => other.instance === instance) as ModelEntry
       const report = agent.report(instance)
       this.#result.messages.report += 1
--- a/packages/coordination/src/agent.ts
+++ b/packages/coordination/src/agent.ts
@@ -258,7 +258,7 @@
   }
 
   #sendChangedReports (): void {
-    for (const entry of this.#slots.changedReports()) {
+    for (const entry of this.#slots.entriesToReport()) {
       if (this.#connected.has(entry)) this.#send(entry, { case: 'report', value: this.#report(entry) })
     }
   }
--- a/packages/coordination/src/agentexchange.ts
+++ b/packages/coordination/src/agentexchange.ts
@@ -52,7 +52,7 @@
     },
     result: (agent, result, now) => this.#jobs.result(agent, result, now),
     recalled: (agent, { epoch, lines }, now) => {
-      for (const line of lines) this.#jobs.adoptLine(agent, line, now)
+      for (const line of lines) this.#jobs.adoptLedgerLine(agent, line, now)
       this.#takeover.recalled(agent, epoch)
       this.#memoryProgressed(now)
     },
--- a/packages/coordination/src/agenttasks.ts
+++ b/packages/coordination/src/agenttasks.ts
@@ -93,7 +93,7 @@
       this.#emit({ type: 'abortTask', task: number })
       return
     }
-    this.#slots.withdraw(number)
+    this.#slots.cancelWaiting(number)
     this.#giveBack(number, 'cancelled before it started', now)
   }
 
@@ -104,7 +104,7 @@
   withdrawWaiting (concerns: (holder: Instance) => boolean, detail: string, now: number): void {
     if (!this.#guards.fence) return
     for (const number of this.#ledger.waitingOf(concerns)) {
-      this.#slots.withdraw(number)
+      this.#slots.cancelWaiting(number)
       this.#dispatches.delete(number)
       this.#ledger.withdraw(number, detail, now)
     }
--- a/packages/coordination/src/answeredjobs.ts
+++ b/packages/coordination/src/answeredjobs.ts
@@ -1,7 +1,7 @@
 /** Answered jobs, kept for callers that ask again: for the retention time, with results up to a bound of bytes. */
 import type { Execution } from './execution.ts'
 import type { Answer, JobKey } from './messages.ts'
-import { answerWithout } from './execution.ts'
+import { answerWithoutResults } from './execution.ts'
 import { AnswerKind, Cause } from './messages.ts'
 
 export interface AnsweredJobsLimits {
@@ -60,6 +60,6 @@
     const answer = execution.answer as Answer
     this.#bytes -= bytesOf(answer)
     if (answer.kind !== AnswerKind.Complete) return
-    execution.answer = answerWithout(AnswerKind.Failed, Cause.ResultsExpired, 'the job was answered before; its results are no longer held')
+    execution.answer = answerWithoutResults(AnswerKind.Failed, Cause.ResultsExpired, 'the job was answered before; its results are no longer held')
   }
 }
--- a/packages/coordination/src/capacity.ts
+++ b/packages/coordination/src/capacity.ts
@@ -1,18 +1,18 @@
-/** How many slots one entry really gets, learned from the run time of the tasks that it settles. */
-import { CAPACITY_MILLISECONDS } from './schedulingdefaults.ts'
+/** Measures how many slots one entry actually uses, by the run time of the tasks that end. */
+import { CAPACITY_AVERAGING_MILLISECONDS } from './schedulingdefaults.ts'
 
-/** Run time settled per unit of time, averaged over the last moments. */
+/** Run time of ended tasks per unit of time, as an exponentially decaying average. */
 export class CapacityMeter {
   #rate = 0
   #at = 0
 
   note (runMilliseconds: number, now: number): void {
-    this.#rate = this.slots(now) + runMilliseconds / CAPACITY_MILLISECONDS
+    this.#rate = this.slots(now) + runMilliseconds / CAPACITY_AVERAGING_MILLISECONDS
     this.#at = now
   }
 
-  /** Slots held on average. */
+  /** Average number of slots in use. */
   slots (now: number): number {
-    return this.#rate * Math.exp(-(now - this.#at) / CAPACITY_MILLISECONDS)
+    return this.#rate * Math.exp(-(now - this.#at) / CAPACITY_AVERAGING_MILLISECONDS)
   }
 }
--- a/packages/coordination/src/defaults.ts
+++ b/packages/coordination/src/defaults.ts
@@ -1,6 +1,6 @@
-/** Defaults of the coordination parts. Durations are in milliseconds. */
+/** Default timings and memory limits of entries and agents. Durations are in milliseconds. */
 
-/** How quickly the parts notice, decide and forget. */
+/** Intervals and timeouts of entries and agents. */
 export interface Timings {
   /**
    * Interval of heartbeats between entries, and from agents to entries.
@@ -8,20 +8,20 @@
    */
   heartbeat: number
   /**
-   * Silence after which an entry asks the store to remove a peer from the view. Longer than a pause
-   * of garbage collection and than the wait of TCP after a cut of a second, so that neither has a
-   * live entry removed.
+   * Time without a message after which an entry asks the store to remove a peer from the view. It is longer
+   * than a garbage collection pause and than the TCP retransmission delay after a link failure of one
+   * second, so that neither removes a live entry.
    * @default 1800
    */
   suspect: number
   /**
-   * How long an agent may start tasks on the strength of one confirmation of its view, or of one
-   * contact with every entry of it.
+   * How long an agent may start tasks after its view was last confirmed, or after its last contact with
+   * every entry of the view.
    * @default 2500
    */
   contact: number
   /**
-   * How long an agent may be disconnected before its unfinished tasks are given up.
+   * How long an agent may be disconnected before its unfinished tasks are abandoned.
    * @default 2000
    */
   agentLost: number
@@ -31,22 +31,23 @@
    */
   viewRead: number
   /**
-   * How long job ids, start marks and answers are remembered.
+   * How long job ids, start marks and answers are retained.
    * @default 600000
    */
   retention: number
   /**
-   * How long a receiving entry waits past the deadline for the answer of the owner.
+   * How long the entry that received a request waits for the owner's answer after the deadline.
    * @default 300
    */
   answerGrace: number
   /**
-   * By how much a caller's statement of when it lodged a job may differ from the entry's wall clock.
+   * Maximum difference between the submission time that a caller states and the entry's wall clock.
    * @default 60000
    */
   clockMargin: number
 }
 
+/** Timings used where the settings give none. */
 export const DEFAULT_TIMINGS: Timings = {
   heartbeat: 400,
   suspect: 1800,
@@ -58,25 +59,26 @@
   clockMargin: 60_000
 }
 
-/** Bounds of what the parts hold in memory. */
+/** Limits on what entries and agents hold in memory. */
 export interface MemoryLimits {
   /**
-   * Bytes of results that an agent holds for entries that may ask again.
+   * Bytes of results that an agent retains for entries that may ask again.
    * @default 8388608
    */
   ledgerBytes: number
   /**
-   * Bytes of answers that an entry holds for callers that may ask again.
+   * Bytes of answers that an entry retains for callers that may ask again.
    * @default 16777216
    */
   answerBytes: number
   /**
-   * Jobs that an entry holds unanswered before it refuses more.
+   * Maximum number of unanswered jobs at an entry; further ones are refused.
    * @default 20000
    */
   openJobs: number
 }
 
+/** Memory limits used where the settings give none. */
 export const DEFAULT_MEMORY_LIMITS: MemoryLimits = {
   ledgerBytes: 8 * 1024 * 1024,
   answerBytes: 16 * 1024 * 1024,
@@ -84,10 +86,10 @@
 }
 
 /**
- * By how much the rate of one process's clock may differ from another's: waits that rely on
- * another process's clock are longer by this part.
+ * Maximum relative difference between the clock rates of two processes. Waits that rely on another
+ * process's clock are longer by this fraction.
  */
 export const CLOCK_RATE_MARGIN = 0.1
 
-/** When to come back to an entry that is not ready. */
+/** Time after which a caller is asked to try again at an entry that is not ready. */
 export const NOT_READY_RETRY_MILLISECONDS = 1000
--- a/packages/coordination/src/dispatching.ts
+++ b/packages/coordination/src/dispatching.ts
@@ -1,4 +1,4 @@
-/** The way of a job's tasks from the queue to agents and back: what is dispatched, under which attempt, and what came of it. */
+/** Dispatches the tasks of jobs to agents under numbered attempts, and processes their results. */
 import type { EntryContext } from './entrycontext.ts'
 import type { Execution, TaskProgress } from './execution.ts'
 import type { Answer, Instance, Job, JobKey, TaskReference, TaskResult } from './messages.ts'
@@ -6,7 +6,7 @@
 import { TaskStage } from './execution.ts'
 import { TaskOutcome } from './messages.ts'
 
-/** The tasks of a job as the scheduler sees them. */
+/** Converts the tasks of a job to the form that the scheduler uses. */
 export function schedulableTasks (job: Job, now: number, deadline = now + job.remainingMilliseconds): SchedulableTask[] {
   return job.tasks.map((task, index) => ({
     job: job.key,
@@ -19,10 +19,11 @@
   }))
 }
 
+/** Sends tasks to agents, numbers the attempts, and settles the results. */
 export class Dispatching {
   readonly #context: EntryContext
   readonly #scheduler: Scheduler
-  /** By agent: executions that have a task there. */
+  /** Executions with a task at an agent, by agent. */
   readonly #byAgent = new Map<Instance, Set<Execution>>()
   #lastAttempt = 0
 
@@ -31,20 +32,22 @@
     this.#scheduler = scheduler
   }
 
-  /** Takes the attempts of a job of a lost entry in: new ones are numbered above them. */
-  noteAttempt (attempt: number): void {
+  /**
+   * Raises the last attempt number to one found in a lost entry's job: new attempts are numbered above it.
+   */
+  recordAttempt (attempt: number): void {
     this.#lastAttempt = Math.max(this.#lastAttempt, attempt)
   }
 
-  /** This execution has, or may have, a task at the agent. */
-  noteAt (agent: Instance, execution: Execution): void {
+  /** Records that the execution has, or may have, a task at the agent. */
+  recordPlacement (agent: Instance, execution: Execution): void {
     const executions = this.#byAgent.get(agent)
     if (executions === undefined) this.#byAgent.set(agent, new Set([execution]))
     else executions.add(execution)
   }
 
-  /** The executions that have a task at this agent, which is given up: they are known as such no more. */
-  takeFrom (agent: Instance): Iterable<Execution> {
+  /** Removes a lost agent and returns the executions that have a task there. */
+  removeAgent (agent: Instance): Iterable<Execution> {
     const executions = this.#byAgent.get(agent)
     this.#byAgent.delete(agent)
     return executions ?? []
@@ -59,7 +62,10 @@
     if (pending.length > 0) this.#scheduler.enqueue(pending, now)
   }
 
-  /** Dispatches what may run now. */
+  /**
+   * Dispatches the tasks that may run now. A task that is no longer pending is returned to the scheduler as
+   * not started.
+   */
   dispatch (held: ReadonlyMap<JobKey, Execution>, now: number): void {
     for (const assignment of this.#scheduler.decide(now)) {
       const execution = held.get(assignment.job)
@@ -70,12 +76,14 @@
       }
       this.#lastAttempt += 1
       execution.dispatched(assignment.index, assignment, this.#lastAttempt, now)
-      this.noteAt(assignment.agent, execution)
+      this.recordPlacement(assignment.agent, execution)
       this.#sendDispatch(execution, assignment.index, task, now)
     }
   }
 
-  /** Sends again what an agent whose link was cut may not have received; its ledger knows copies. */
+  /**
+   * Sends again what an agent may not have received when its link was cut; its ledger detects duplicates.
+   */
   agentReconnected (agent: Instance, now: number): void {
     for (const execution of this.#byAgent.get(agent) ?? []) {
       if (execution.answer !== undefined) continue
@@ -85,19 +93,25 @@
     }
   }
 
-  /** Tells the agents that run tasks of a resumed job who is to be told the outcome. */
+  /**
+   * Sends the running tasks of a resumed job to their agents again, so that the agents report the outcome
+   * to this entry.
+   */
   claimOutstanding (execution: Execution, now: number): void {
     for (const { index, task } of execution.outstanding()) this.#sendDispatch(execution, index, task, now)
   }
 
-  /** Takes a result in, unless it is of another attempt or agent; the answer when it ends the job. */
+  /**
+   * Processes a result, unless it belongs to another attempt or agent. Returns the answer if it ends the
+   * job.
+   */
   result (execution: Execution, agent: Instance, result: TaskResult, now: number): Answer | undefined {
-    const task = this.#taskFor(execution, agent, result)
+    const task = this.#taskForResult(execution, agent, result)
     return task === undefined ? undefined : this.#settle(execution, task, result, now)
   }
 
-  /** What an agent that is given up had may have run; the answer when that ends the job. */
-  loseTasks (execution: Execution, agent: Instance, now: number): Answer | undefined {
+  /** Settles the tasks of a lost agent as possibly run. Returns the answer if that ends the job. */
+  settleLostTasks (execution: Execution, agent: Instance, now: number): Answer | undefined {
     const lost = execution.outstanding().filter(({ task }) => task.agent === agent)
     if (lost.length > 0) this.#context.emit({ type: 'note', what: 'tasks lost with their agent', fields: { job: execution.key, agent, tasks: lost.map(({ index, task }) => [index, task.attempt, Math.round(now - task.dispatchedAt)]) } })
     for (const { index, task } of execution.outstanding()) {
@@ -109,13 +123,13 @@
     return undefined
   }
 
-  /** Takes back what is still queued or running. */
+  /** Removes the queued tasks of the job and cancels the running ones. */
   withdraw (execution: Execution, now: number): void {
     this.#scheduler.remove(execution.key)
     this.#cancelOutstanding(execution, now)
   }
 
-  #taskFor (execution: Execution, agent: Instance, result: TaskResult): TaskProgress | undefined {
+  #taskForResult (execution: Execution, agent: Instance, result: TaskResult): TaskProgress | undefined {
     if (this.#context.guards.attempt) return execution.outstandingFor(agent, result)
     const task = execution.tasks[result.index]
     return task?.stage === TaskStage.Done ? undefined : task
@@ -127,7 +141,7 @@
     const waitMilliseconds = task.dispatchedAt - task.queuedAt
     const answer = execution.settle(task, outcome, payload, detail, now, runMilliseconds)
     if (outcome === TaskOutcome.NotStarted) {
-      this.#enqueueAgain(execution, index, now)
+      this.#requeue(execution, index, now)
       return undefined
     }
     const { tenant, service } = execution.job as Job
@@ -135,7 +149,7 @@
     return answer
   }
 
-  #enqueueAgain (execution: Execution, index: number, now: number): void {
+  #requeue (execution: Execution, index: number, now: number): void {
     const task = schedulableTasks(execution.job as Job, now, execution.deadline)[index]
     if (task !== undefined) this.#scheduler.enqueue([task], now)
   }
--- a/packages/coordination/src/entry.ts
+++ b/packages/coordination/src/entry.ts
@@ -181,7 +181,7 @@
 
   #memoryProgressed (now: number): void {
     this.#parts.memory.settle(now)
-    this.#parts.router.unpark(now)
+    this.#parts.router.retryParked(now)
     this.#refreshState()
   }
 
--- a/packages/coordination/src/estimates.ts
+++ b/packages/coordination/src/estimates.ts
@@ -1,40 +1,40 @@
 /**
- * Run times learned from outcomes, with what callers declare weighed in by how well it has
- * predicted so far.
+ * Run times learned from outcomes and from the run times that callers declare, weighted by how well
+ * declarations have predicted the outcomes.
  *
- * Declared run times are off by ten times either way. In logarithms a constant factor is a constant
- * difference, so a running linear regression of the true on the declared run time corrects a
- * declaration that is wrong by the same factor each time, and ignores one that is wrong at random:
- * its slope falls to nothing and the learned mean remains.
+ * Declared run times can be off by a factor of ten either way. In logarithms a constant factor is a
+ * constant difference, so a running linear regression of the true on the declared run time corrects
+ * declarations that are always off by the same factor. It ignores declarations with random errors: the
+ * slope falls to 0 and the learned mean remains.
  */
-import { ESTIMATE_RATE, ESTIMATE_WARM_UP, LONGEST_RUN_DECAY, SMALLEST_RUN_MILLISECONDS, UNKNOWN_RUN_MILLISECONDS } from './schedulingdefaults.ts'
+import { ESTIMATE_SMOOTHING, ESTIMATE_WARM_UP, PEAK_RUN_DECAY, MIN_RUN_MILLISECONDS, DEFAULT_RUN_MILLISECONDS } from './schedulingdefaults.ts'
 
 function logarithm (milliseconds: number): number {
-  return Math.log(Math.max(SMALLEST_RUN_MILLISECONDS, milliseconds))
+  return Math.log(Math.max(MIN_RUN_MILLISECONDS, milliseconds))
 }
 
-/** What is known about the run times of one kind of task. */
+/** Run times of one tenant's tasks of one service. */
 class RunTimeModel {
   #outcomes = 0
-  #mean = UNKNOWN_RUN_MILLISECONDS
-  /** Longest run lately: no declaration is believed beyond it. */
+  #mean = DEFAULT_RUN_MILLISECONDS
+  /** Longest recent run time, which decays slowly. Predictions from declarations never exceed it. */
   #longest = 0
   #logRun = 0
   #logDeclared = 0
   #varianceDeclared = 0
   #covariance = 0
   #declaredOutcomes = 0
-  /** Mean of true over predicted run time: turns a prediction in logarithms into a mean. */
+  /** Mean ratio of true to predicted run time: corrects a prediction in logarithms to a mean. */
   #bias = 1
 
   learn (declared: number, run: number): void {
-    this.#learnRatio(declared, run)
+    this.#updateBias(declared, run)
     this.#outcomes += 1
-    this.#longest = Math.max(run, this.#longest * LONGEST_RUN_DECAY)
-    const rate = Math.max(ESTIMATE_RATE, 1 / this.#outcomes)
+    this.#longest = Math.max(run, this.#longest * PEAK_RUN_DECAY)
+    const rate = Math.max(ESTIMATE_SMOOTHING, 1 / this.#outcomes)
     this.#mean += (run - this.#mean) * rate
     if (declared <= 0) return
-    this.#learnDeclared(logarithm(declared), logarithm(run))
+    this.#updateRegression(logarithm(declared), logarithm(run))
   }
 
   mean (): number {
@@ -47,15 +47,15 @@
     return Math.min(this.#longest, Math.exp(this.#regress(declared)) * this.#bias)
   }
 
-  #learnRatio (declared: number, run: number): void {
+  #updateBias (declared: number, run: number): void {
     if (declared <= 0 || this.#declaredOutcomes < ESTIMATE_WARM_UP) return
     const ratio = run / Math.exp(this.#regress(declared))
-    this.#bias += (Math.min(ratio, 20) - this.#bias) * ESTIMATE_RATE
+    this.#bias += (Math.min(ratio, 20) - this.#bias) * ESTIMATE_SMOOTHING
   }
 
-  #learnDeclared (declared: number, run: number): void {
+  #updateRegression (declared: number, run: number): void {
     this.#declaredOutcomes += 1
-    const rate = Math.max(ESTIMATE_RATE, 1 / this.#declaredOutcomes)
+    const rate = Math.max(ESTIMATE_SMOOTHING, 1 / this.#declaredOutcomes)
     const fromDeclared = declared - this.#logDeclared
     const fromRun = run - this.#logRun
     this.#logDeclared += rate * fromDeclared
@@ -71,7 +71,7 @@
   }
 }
 
-/** Run times by tenant and service. */
+/** Run time estimates by tenant and service. */
 export class RunTimeEstimates {
   readonly #models = new Map<string, RunTimeModel>()
 
@@ -79,15 +79,15 @@
   predict (tenant: string, service: string, declared: number): number {
     const model = this.#models.get(`${tenant}/${service}`)
     if (model !== undefined) return model.predict(declared)
-    return declared > 0 ? declared : UNKNOWN_RUN_MILLISECONDS
+    return declared > 0 ? declared : DEFAULT_RUN_MILLISECONDS
   }
 
   /** Mean run time of the tenant's tasks of the service, in milliseconds. */
   mean (tenant: string, service: string): number {
-    return this.#models.get(`${tenant}/${service}`)?.mean() ?? UNKNOWN_RUN_MILLISECONDS
+    return this.#models.get(`${tenant}/${service}`)?.mean() ?? DEFAULT_RUN_MILLISECONDS
   }
 
-  /** Takes in the true run time of a task that ran to its end. */
+  /** Records the true run time of a task that succeeded. */
   learn (tenant: string, service: string, declared: number, run: number): void {
     const key = `${tenant}/${service}`
     let model = this.#models.get(key)
--- a/packages/coordination/src/execution.ts
+++ b/packages/coordination/src/execution.ts
@@ -1,12 +1,12 @@
 /**
- * One job at the entry that runs it: where each task stands, who waits for the answer, and what the
- * answer is. A job is answered once, as a whole.
+ * The state of one job at the entry that runs it: the progress of each task, the requests that wait, and
+ * the answer. A job is answered once, as a whole.
  */
 import type { Answer, Instance, Job, JobKey, LedgerLine, TaskResult } from './messages.ts'
 import type { Assignment } from './scheduling.ts'
 import { AnswerKind, Cause, LedgerState, TaskOutcome } from './messages.ts'
 
-/** Where a task stands at its executor. */
+/** Progress of a task at the entry that runs its job. */
 export enum TaskStage {
   /** Not dispatched, or dispatched and provably not started. */
   Pending = 'pending',
@@ -22,14 +22,14 @@
   attempt: number
   result: Uint8Array
   outcome: TaskOutcome
-  /** When it was last queued, and when it was last dispatched, by the entry's clock. */
+  /** When it was last queued and last dispatched, by the entry's clock. */
   queuedAt: number
   dispatchedAt: number
-  /** Until when other tasks may overtake it at its agent. */
+  /** Until when later tasks may overtake it in its agent's queue. */
   overtakableUntil: number
 }
 
-/** A request that waits for the answer: the entry it came through, and its name there. */
+/** A request that waits for the answer: the entry that received it, and its submission id there. */
 export interface Attachment {
   entry: Instance
   submission: string
@@ -50,36 +50,37 @@
   }
 }
 
-/** A refusal or failure, without results. */
-export function answerWithout (kind: AnswerKind, cause: Cause, detail: string, retryAfterMilliseconds = 0): Answer {
+/** Builds an answer that carries no results. */
+export function answerWithoutResults (kind: AnswerKind, cause: Cause, detail: string, retryAfterMilliseconds = 0): Answer {
   return { kind, cause, detail, results: [], retryAfterMilliseconds }
 }
 
 /**
- * Whether the entry that gives this answer forgets the job, so that a later submission of the id is
- * taken as new. A cancelled job stays cancelled for copies that are still on their way.
+ * Whether the entry drops the job with this answer, so that a later submission of the id counts as new. A
+ * cancelled job is kept, so that copies still in transit are answered as cancelled too.
  */
-export function isForgotten (answer: Answer): boolean {
+export function releasesJobId (answer: Answer): boolean {
   return answer.kind === AnswerKind.Refused && answer.cause !== Cause.Cancelled && answer.cause !== Cause.IdReused
 }
 
+/** The progress of one job until its answer, and the answer afterwards. */
 export class Execution {
   readonly key: JobKey
   readonly arrivedAt: number
-  /** Empty while only ledger lines of the job are known. */
+  /** Empty while the job is known only from ledger lines. */
   digest: string
-  /** Absent for a job of a lost entry until somebody submits it again. */
+  /** Undefined for a job of a lost entry until a caller submits it again. */
   job: Job | undefined
   deadline = Number.POSITIVE_INFINITY
   answer: Answer | undefined
   answeredAt = 0
   attached: Attachment[] = []
-  /** Entry whose confirmation of the receipt is awaited before the first dispatch. */
+  /** Entry that must confirm the receipt before the first dispatch. */
   awaitedBackup: Instance | undefined
-  /** The lost entry that ran it, empty when only ledger lines tell of the job. */
+  /** The lost entry that ran it; empty when the job is known only from ledger lines. */
   lostExecutor: Instance = ''
-  /** It may have run before the memory of the system begins. */
-  forgotten = false
+  /** Whether it may have run before the period that the record of jobs covers. */
+  mayPredateHorizon = false
   readonly #tasks: TaskProgress[] = []
   readonly #lines = new Map<number, { line: LedgerLine, agent: Instance }>()
   #succeeded = 0
@@ -95,7 +96,7 @@
     return this.#tasks
   }
 
-  /** Run time of the longest task that has ended at its target, in milliseconds. */
+  /** Longest run time of a task that has ended at its target, in milliseconds. */
   get longestRun (): number {
     return this.#longestRun
   }
@@ -104,13 +105,16 @@
     return this.job === undefined
   }
 
-  /** Whether the next submission brings a lost entry's job, and decides what of it is run. */
+  /**
+   * Whether this is a lost entry's job without an answer: the next submission supplies its content and
+   * decides which tasks run.
+   */
   get resumable (): boolean {
     return this.orphan && this.answer === undefined
   }
 
   /** Whether any task may have started. */
-  get touched (): boolean {
+  get mayHaveStarted (): boolean {
     return this.#lines.size > 0 || this.#tasks.some(task => task.stage !== TaskStage.Pending)
   }
 
@@ -118,7 +122,7 @@
     return this.#tasks.filter(task => task.stage === TaskStage.Done).length
   }
 
-  /** Takes the content in; the clock of the deadline starts when the entry receives it. */
+  /** Sets the content of the job. The deadline counts from the moment at which the entry receives it. */
   begin (job: Job, now: number): void {
     this.job = job
     this.digest = job.digest
@@ -131,23 +135,26 @@
     if (!known) this.attached.push(attachment)
   }
 
-  /** Notes what an agent's ledger says of a task of a lost entry. */
-  noteLine (agent: Instance, line: LedgerLine): void {
+  /**
+   * Records an agent's ledger line on a task of a lost entry's job. Among several lines of a task, the
+   * strongest evidence of a start is kept.
+   */
+  recordLedgerLine (agent: Instance, line: LedgerLine): void {
     const known = this.#lines.get(line.index)
-    if (known !== undefined && rank(known.line) > rank(line)) return
+    if (known !== undefined && evidenceRank(known.line) > evidenceRank(line)) return
     this.#lines.set(line.index, { line, agent })
   }
 
-  /** A result for a task of which only the ledger line is known. */
-  noteResult (agent: Instance, result: TaskResult): void {
+  /** Records a result for a task that is known only from its ledger line. */
+  recordResult (agent: Instance, result: TaskResult): void {
     const known = this.#lines.get(result.index)
     if (known === undefined || known.agent !== agent || known.line.attempt !== result.attempt) return
     const state = result.outcome === TaskOutcome.NotStarted ? LedgerState.Refused : LedgerState.Finished
     known.line = { ...known.line, state, outcome: result.outcome, payload: result.payload, payloadHeld: true, detail: result.detail }
   }
 
-  /** The agent is lost: what it ran of this job has no outcome that anybody will learn. */
-  noteAgentLost (agent: Instance): void {
+  /** Marks running tasks of a lost agent as possibly run: their outcome can no longer be learned. */
+  recordAgentLost (agent: Instance): void {
     for (const known of this.#lines.values()) {
       if (known.agent !== agent || known.line.state !== LedgerState.Running) continue
       known.line = { ...known.line, state: LedgerState.Finished, outcome: TaskOutcome.MayHaveRun, detail: 'its agent was lost' }
@@ -155,27 +162,27 @@
   }
 
   /**
-   * Puts the ledger lines in the place of the tasks, after `begin`. Returns the answer when one
-   * can be given at once; the tasks that are pending after it provably never started.
+   * Applies the ledger lines to the tasks, after `begin`. Returns the answer if one can be given at once;
+   * tasks that are still pending afterwards provably never started.
    *
    * @param ledgersComplete whether every ledger that may name the job was read
    */
-  applyLines (ledgersComplete: boolean): Answer | undefined {
+  applyLedgerLines (ledgersComplete: boolean): Answer | undefined {
     let missing = false
     for (let index = 0; index < this.#tasks.length; index++) {
       const known = this.#lines.get(index)
       if (known === undefined || !provesStart(known.line)) missing = true
-      else this.#applyLine(index, known.agent, known.line)
+      else this.#applyLedgerLine(index, known.agent, known.line)
     }
     const failure = this.#tasks.find(task => task.stage === TaskStage.Done && task.outcome !== TaskOutcome.Succeeded)
     if (failure !== undefined) return failureAnswer(failure.outcome, 'a task of the job failed before its entry was lost')
     if (missing && !ledgersComplete) {
-      return answerWithout(AnswerKind.MayHaveRun, Cause.EntryLost, 'the entry that had the job was lost, and not every agent could be asked')
+      return answerWithoutResults(AnswerKind.MayHaveRun, Cause.EntryLost, 'the entry that had the job was lost, and not every agent could be asked')
     }
     return this.completeAnswer()
   }
 
-  /** Highest attempt that a ledger knows of, so that a new one is above it. */
+  /** Highest attempt in any ledger line; new attempts are numbered above it. */
   get highestAttempt (): number {
     let highest = 0
     for (const { line } of this.#lines.values()) highest = Math.max(highest, line.attempt)
@@ -192,14 +199,17 @@
     task.overtakableUntil = now + patienceMilliseconds
   }
 
-  /** The outstanding task that a result is for; undefined for a late, doubled or foreign result. */
+  /**
+   * The outstanding task that a result belongs to; undefined for a late or duplicate result, or one of
+   * another agent or attempt.
+   */
   outstandingFor (agent: Instance, result: { index: number, attempt: number }): TaskProgress | undefined {
     const task = this.#tasks[result.index]
     if (task?.stage !== TaskStage.Outstanding) return undefined
     return task.agent === agent && task.attempt === result.attempt ? task : undefined
   }
 
-  /** Writes an outcome down; the answer when the job has one now. */
+  /** Records the outcome of a task. Returns the answer if this completes or fails the job. */
   settle (task: TaskProgress, outcome: TaskOutcome, payload: Uint8Array, detail: string, now: number, runMilliseconds = 0): Answer | undefined {
     this.#longestRun = Math.max(this.#longestRun, runMilliseconds)
     if (outcome === TaskOutcome.NotStarted) {
@@ -215,21 +225,24 @@
     return this.completeAnswer()
   }
 
-  /** The whole answer once every task has succeeded. */
+  /** The complete answer with all results; undefined until every task has succeeded. */
   completeAnswer (): Answer | undefined {
     if (this.#tasks.length === 0 || this.#succeeded < this.#tasks.length) return undefined
     const results = this.#tasks.map(task => task.result)
     return { kind: AnswerKind.Complete, cause: Cause.None, detail: '', results, retryAfterMilliseconds: 0 }
   }
 
-  /** The answer to a job that ends before its tasks have: as much as is provable and no more. */
-  brokenOffAnswer (cause: Cause, detail: string, retryAfterMilliseconds: number): Answer {
-    if (!this.touched && !this.forgotten) return answerWithout(AnswerKind.Refused, cause, detail, retryAfterMilliseconds)
+  /**
+   * The answer to a job that is ended before its tasks are. It claims only what is provable: not run,
+   * failed after a task ran, or possibly run.
+   */
+  interruptedAnswer (cause: Cause, detail: string, retryAfterMilliseconds: number): Answer {
+    if (!this.mayHaveStarted && !this.mayPredateHorizon) return answerWithoutResults(AnswerKind.Refused, cause, detail, retryAfterMilliseconds)
     const ran = this.#tasks.some(task => task.stage === TaskStage.Done)
-    return answerWithout(ran ? AnswerKind.Failed : AnswerKind.MayHaveRun, cause, detail)
+    return answerWithoutResults(ran ? AnswerKind.Failed : AnswerKind.MayHaveRun, cause, detail)
   }
 
-  /** Tasks that are with an agent. */
+  /** Tasks that are dispatched and not settled. */
   outstanding (): Array<{ index: number, task: TaskProgress }> {
     const found: Array<{ index: number, task: TaskProgress }> = []
     this.#tasks.forEach((task, index) => {
@@ -238,7 +251,7 @@
     return found
   }
 
-  /** Seals the job: payloads and progress go, the answer stays. */
+  /** Sets the final answer and releases the payloads and the progress of the tasks. */
   close (answer: Answer, now: number): void {
     this.answer = answer
     this.answeredAt = now
@@ -248,7 +261,7 @@
     this.attached = []
   }
 
-  #applyLine (index: number, agent: Instance, line: LedgerLine): void {
+  #applyLedgerLine (index: number, agent: Instance, line: LedgerLine): void {
     const task = this.#tasks[index]
     if (task === undefined) return
     task.agent = agent
@@ -264,19 +277,22 @@
   }
 }
 
-/** A refusal says nothing of other attempts at other agents. */
+/**
+ * Whether a ledger line proves that the task started. A refusal says nothing about other attempts at other
+ * agents.
+ */
 function provesStart (line: LedgerLine): boolean {
   return line.state === LedgerState.Running || line.state === LedgerState.Finished
 }
 
-/** Lines that prove a start win over lines that do not. */
-function rank (line: LedgerLine): number {
+/** Strength of a ledger line as evidence: lines that prove a start rank above those that do not. */
+function evidenceRank (line: LedgerLine): number {
   if (line.state === LedgerState.Finished) return 3
   if (line.state === LedgerState.Running) return 2
   return line.state === LedgerState.Refused ? 1 : 0
 }
 
 function failureAnswer (outcome: TaskOutcome, detail: string): Answer {
-  if (outcome === TaskOutcome.Failed) return answerWithout(AnswerKind.Failed, Cause.TaskFailed, detail)
-  return answerWithout(AnswerKind.MayHaveRun, Cause.AgentLost, detail)
+  if (outcome === TaskOutcome.Failed) return answerWithoutResults(AnswerKind.Failed, Cause.TaskFailed, detail)
+  return answerWithoutResults(AnswerKind.MayHaveRun, Cause.AgentLost, detail)
 }
--- a/packages/coordination/src/targets.ts
+++ b/packages/coordination/src/fleet.ts
@@ -1,21 +1,24 @@
-/** The targets as one entry knows them, indexed so that a choice does not depend on their number. */
+/**
+ * The targets of one entry, grouped in indexed pools so that the cost of a choice does not depend on their
+ * number.
+ */
 import type { DrainConfiguration } from './configuration.ts'
 import { FleetHealth, TargetHealth, Trust } from './health.ts'
 import { IndexedHeap } from './heap.ts'
 import type { Instance, TargetDescription, TargetReport, TaskNeeds } from './messages.ts'
 import type { Policy } from './policies.ts'
 import { Target } from './target.ts'
-import { CANDIDATES_FOR_NEEDS, QUEUE_PER_SLOT } from './schedulingdefaults.ts'
+import { MAX_CANDIDATES_FOR_NEEDS, QUEUE_PER_SLOT } from './schedulingdefaults.ts'
 
-/** Targets that are alike: same provider, services and size. */
+/** Targets with the same provider, services, accelerators and memory. */
 export class Pool {
   readonly provider: string
   readonly services: ReadonlySet<string>
   readonly accelerators: number
   readonly memoryMegabytes: number
-  /** Targets with room, best first. */
+  /** Targets with free capacity, best first. */
   readonly available = new IndexedHeap<Target>()
-  /** Targets that take new work, now or as soon as they have room. */
+  /** Number of targets that accept new work, now or as soon as they have free capacity. */
   usable = 0
   usableSlots = 0
 
@@ -26,7 +29,7 @@
     this.memoryMegabytes = description.memoryMegabytes
   }
 
-  /** Tells whether a target of this kind could run the task if it had nothing else to do. */
+  /** Whether an idle target of this pool could run the task. */
   couldRun (service: string, needs: TaskNeeds): boolean {
     return this.services.has(service) && needs.accelerators <= this.accelerators &&
       needs.memoryMegabytes <= this.memoryMegabytes
@@ -38,23 +41,23 @@
     return this.#search(needs)
   }
 
-  /** The best that fits among the first few, so that the time for a choice stays bounded. */
+  /** The best target that fits, among the first few, so that the cost of a choice is bounded. */
   #search (needs: TaskNeeds): Target | undefined {
-    const passed: Array<{ target: Target, rank: number }> = []
+    const examined: Array<{ target: Target, rank: number }> = []
     let found: Target | undefined
-    while (found === undefined && passed.length < CANDIDATES_FOR_NEEDS) {
+    while (found === undefined && examined.length < MAX_CANDIDATES_FOR_NEEDS) {
       const rank = this.available.peekKey()
       const target = this.available.pop()
       if (target === undefined || rank === undefined) break
-      passed.push({ target, rank })
+      examined.push({ target, rank })
       if (target.fits(needs)) found = target
     }
-    for (const { target, rank } of passed) this.available.set(target, rank)
+    for (const { target, rank } of examined) this.available.set(target, rank)
     return found
   }
 }
 
-/** Every target, its pool, and what the passing of time changes. */
+/** All targets with their pools, their health and their timers. */
 export class Fleet {
   readonly #policy: Policy
   readonly #random: () => number
@@ -62,12 +65,12 @@
   readonly #names = new Map<string, Target>()
   readonly #health = new Map<string, TargetHealth>()
   readonly #pools = new Map<string, Pool>()
-  readonly #wakeUps = new IndexedHeap<Target>()
+  readonly #timers = new IndexedHeap<Target>()
   readonly #usable = new Set<Target>()
   readonly #fleetHealth = new FleetHealth()
   #draining: DrainConfiguration = { targets: [], racks: [], dataCentres: [], providers: [] }
   #entries = 1
-  /** Rises when a pool is added: routes computed before are out of date. */
+  /** Incremented when a pool is added, which makes earlier routes outdated. */
   generation = 0
 
   constructor (policy: Policy, random: () => number) {
@@ -117,7 +120,7 @@
     const target = known ?? this.#create(agent, description, report, now)
     target.up = true
     target.noteReport(report, now)
-    target.health.noteReturn(now)
+    target.health.recordReturn(now)
     target.drained = this.#isDrained(description)
     this.#names.set(description.target, target)
     this.#fleetHealth.add(target.health)
@@ -131,19 +134,19 @@
     this.#fleetHealth.remove(target.health)
     if (this.#names.get(target.description.target) === target) this.#names.delete(target.description.target)
     this.refresh(target, now)
-    this.forget(target)
+    this.dropIfUnused(target)
   }
 
-  /** Drops a target that is gone and has nothing outstanding. */
-  forget (target: Target): void {
+  /** Removes a disconnected target that has no outstanding tasks. */
+  dropIfUnused (target: Target): void {
     if (!target.up && target.outstanding === 0) this.#targets.delete(target.agent)
   }
 
-  /** Takes in an outcome at the target: `runRatio` is its run time against the expected one. */
-  noteOutcome (target: Target, failed: boolean, runRatio: number, now: number): void {
+  /** Records an outcome at the target. `runRatio` is the run time divided by the expected one. */
+  recordOutcome (target: Target, failed: boolean, runRatio: number, now: number): void {
     if (target.up) this.#fleetHealth.remove(target.health)
-    if (failed) target.health.noteFailure()
-    else target.health.noteSuccess(runRatio, now)
+    if (failed) target.health.recordFailure()
+    else target.health.recordSuccess(runRatio, now)
     if (!target.up) return
     this.#fleetHealth.add(target.health)
     if (!failed || !this.#fleetHealth.shouldEject(target.health) || !this.#othersTakeWork(target)) return
@@ -153,14 +156,15 @@
   }
 
   /**
-   * The target did not start a task. An agent has room for an equal part of its slots and queue from
-   * every entry, so that below this the refusal is not for want of room. Were it taken for that, the
-   * shares would wait for the provider, and the next tasks would follow to the same target.
+   * Records that the target refused a task. An agent grants every entry an equal fraction of its slots and
+   * queue, so a refusal below that is not due to a lack of capacity, and the target is ejected. If it were
+   * treated as full, the provider's share would make tasks wait for it, and the next tasks would go to the
+   * same target.
    */
-  noteRefusal (target: Target, now: number): void {
-    const room = Math.floor((1 + QUEUE_PER_SLOT) * target.description.slots / this.#entries)
+  recordRefusal (target: Target, now: number): void {
+    const capacity = Math.floor((1 + QUEUE_PER_SLOT) * target.description.slots / this.#entries)
     if (target.health.trust === Trust.Ejected) return
-    if (!target.up || target.outstanding >= room || !this.#canSpare(target)) {
+    if (!target.up || target.outstanding >= capacity || !this.#canSpare(target)) {
       target.noteFull(now)
       return
     }
@@ -169,7 +173,7 @@
     this.#fleetHealth.add(target.health)
   }
 
-  /** Puts the target where it belongs after any change to it. */
+  /** Updates the pool, the rank and the timer of a target after any change to it. */
   refresh (target: Target, now: number): void {
     const pool = this.#pool(target.description)
     this.#count(target, pool)
@@ -177,32 +181,33 @@
     if (target.hasRoom(limit, now)) pool.available.set(target, this.#policy.rank(target, now))
     else pool.available.delete(target)
     const change = target.nextChange(now)
-    if (change === undefined) this.#wakeUps.delete(target)
-    else this.#wakeUps.set(target, change)
+    if (change === undefined) this.#timers.delete(target)
+    else this.#timers.set(target, change)
   }
 
-  /** Does what the passing of time demands. */
+  /** Processes timers that are due: probes ejected targets, ejects unresponsive ones and updates ranks. */
   advance (now: number): void {
-    while ((this.#wakeUps.peekKey() ?? Infinity) <= now) {
-      const target = this.#wakeUps.pop() as Target
+    while ((this.#timers.peekKey() ?? Infinity) <= now) {
+      const target = this.#timers.pop() as Target
       if (target.health.trust === Trust.Ejected && target.health.probeAt <= now) this.#probe(target)
-      else if (target.up && target.silent(now)) this.#ejectSilent(target, now)
+      else if (target.up && target.silent(now)) this.#ejectUnresponsive(target, now)
       this.refresh(target, now)
     }
   }
 
   nextChange (): number | undefined {
-    return this.#wakeUps.peekKey()
+    return this.#timers.peekKey()
   }
 
   /**
-   * Without this a target that hangs would be trusted again as soon as the tasks that it never ended
-   * have been broken off at their deadlines. Ejected, it is probed with one task at a time.
+   * Ejects a target that does not respond, so that it is probed with one task at a time. Otherwise a
+   * hanging target would be fully trusted again as soon as its unfinished tasks are cancelled at their
+   * deadlines.
    */
-  #ejectSilent (target: Target, now: number): void {
+  #ejectUnresponsive (target: Target, now: number): void {
     if (!this.#canSpare(target)) return
     this.#fleetHealth.remove(target.health)
-    target.health.noteSilence(now)
+    target.health.ejectUnresponsive(now)
     this.#fleetHealth.add(target.health)
   }
 
@@ -210,7 +215,10 @@
     return this.#fleetHealth.canSpare(target.health) && this.#othersTakeWork(target)
   }
 
-  /** Whether a target besides this one takes work: one that leaves is up as well, and counts as trusted. */
+  /**
+   * Whether another target accepts work. Targets that are leaving do not count, although they are connected
+   * and trusted.
+   */
   #othersTakeWork (target: Target): boolean {
     return this.#usable.size > (this.#usable.has(target) ? 1 : 0)
   }
@@ -226,15 +234,18 @@
     if (health === undefined) {
       health = new TargetHealth(description.slots)
       this.#health.set(description.target, health)
-      this.#forgetOldHealth()
+      this.#dropOldHealth()
     }
     const target = new Target(agent, description, report, health, this.#random(), now)
     this.#targets.set(agent, target)
     return target
   }
 
-  /** Names of targets that never return would pile up otherwise. */
-  #forgetOldHealth (): void {
+  /**
+   * Removes the health of a disconnected target. Otherwise entries of targets that never return would
+   * accumulate.
+   */
+  #dropOldHealth (): void {
     if (this.#health.size <= 2 * this.#names.size + 64) return
     for (const name of this.#health.keys()) {
       if (this.#names.has(name)) continue
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -1,32 +1,32 @@
 /**
- * How far a target is trusted, judged by outcomes before load: a target that fails all it starts
- * is always idle, and would draw the work of the whole fleet if load came first.
+ * Health of targets, judged by outcomes before load: a target that fails every task is always idle, so a
+ * choice by load alone would send it the work of the whole fleet.
  *
- * A target that fails far more often than the others is ejected for a while, then probed with one
- * task at a time, then given twice as much with each success. A new target, and one that returns,
- * begins in the same way at a quarter of its slots, so that neither a bad one nor a returning
- * provider is met with a storm. When every target fails alike the fault is in the work, and nothing
- * is ejected; a part of the fleet is never ejected in any case.
+ * A target that fails far more often than the others is ejected for a while, then probed with one task at a
+ * time, and its limit doubles with each success. A new or returning target starts in the same way at a
+ * quarter of its slots, so that neither a bad target nor a returning provider receives a burst. When all
+ * targets fail alike the fault lies in the work and none is ejected. A minimum fraction of the fleet is
+ * never ejected.
  */
 import {
-  CLOSED_MILLISECONDS, EJECTION_CONTRAST, EJECTION_MILLISECONDS, EJECTION_THRESHOLD, FAILURE_RATE, FLAPS_TOLERATED,
-  FLAP_HALF_LIFE_MILLISECONDS, FORGIVING_SUCCESSES, LONGEST_EJECTION_MILLISECONDS, NEVER_EJECTED_PART,
-  SLOWNESS_HALF_LIFE_MILLISECONDS, SLOWNESS_RATE, SLOWNESS_TOLERATED
+  REFUSAL_EJECTION_MILLISECONDS, EJECTION_CONTRAST, EJECTION_MILLISECONDS, EJECTION_THRESHOLD, FAILURE_SMOOTHING, MAX_FLAPS,
+  FLAP_HALF_LIFE_MILLISECONDS, EJECTION_RESET_SUCCESSES, MAX_EJECTION_MILLISECONDS, NEVER_EJECTED_FRACTION,
+  SLOWNESS_HALF_LIFE_MILLISECONDS, SLOWNESS_SMOOTHING, SLOWNESS_THRESHOLD
 } from './schedulingdefaults.ts'
 
-/** How far a target is in use. */
+/** Health state of a target. */
 export enum Trust {
   Full = 'full',
-  /** In use with a part of its slots, which grows with each success. */
+  /** Receives a limited number of tasks, which doubles with each success. */
   Probing = 'probing',
-  /** Gets nothing for a while. */
+  /** Receives no tasks for a while. */
   Ejected = 'ejected'
 }
 
-/** What one entry has seen of one target. */
+/** Health of one target as observed by one entry. */
 export class TargetHealth {
   trust = Trust.Probing
-  /** Tasks it may have at one time while it is probed. */
+  /** Maximum number of unfinished tasks while it is probed. */
   allowed: number
   /** Instant at which an ejected target is probed again. */
   probeAt = 0
@@ -35,27 +35,27 @@
   #logSlowness = 0
   #measuredAt = 0
   #ejections = 0
-  #closures = 0
+  #refusalEjections = 0
   #silent = false
-  #successes = 0
+  #consecutiveSuccesses = 0
   #flaps = 0
   #returnedAt = -Infinity
 
   constructor (slots: number) {
     this.#slots = slots
-    this.allowed = this.#quarter()
+    this.allowed = this.#initialLimit()
   }
 
-  /** Tasks that the target may have at one time. */
+  /** Maximum number of unfinished tasks at the target in its current state. */
   limit (): number {
     if (this.trust === Trust.Ejected) return 0
     return this.trust === Trust.Full ? Infinity : this.allowed
   }
 
-  /** Run time against that of the others; 1 unless it is clearly slower. */
+  /** Ratio of its run times to those of the other targets; 1 unless it is clearly slower. */
   slowness (now: number): number {
     const slowness = Math.exp(this.#agedSlowness(now))
-    return slowness < SLOWNESS_TOLERATED ? 1 : slowness
+    return slowness < SLOWNESS_THRESHOLD ? 1 : slowness
   }
 
   /** From 0 when ejected to 1 when fully trusted and as fast as the others. */
@@ -64,26 +64,26 @@
     return Math.min(1, this.limit() / this.#slots) / this.slowness(now)
   }
 
-  /** `runRatio` is the run time against the expected one. */
-  noteSuccess (runRatio: number, now: number): void {
-    this.failureRate *= 1 - FAILURE_RATE
+  /** Records a success. `runRatio` is the run time divided by the expected one. */
+  recordSuccess (runRatio: number, now: number): void {
+    this.failureRate *= 1 - FAILURE_SMOOTHING
     const aged = this.#agedSlowness(now)
-    this.#logSlowness = aged + (Math.log(runRatio) - aged) * SLOWNESS_RATE
+    this.#logSlowness = aged + (Math.log(runRatio) - aged) * SLOWNESS_SMOOTHING
     this.#measuredAt = now
-    this.#successes += 1
-    this.#closures = 0
-    if (this.#successes >= FORGIVING_SUCCESSES) this.#ejections = 0
-    this.#noteLife()
+    this.#consecutiveSuccesses += 1
+    this.#refusalEjections = 0
+    if (this.#consecutiveSuccesses >= EJECTION_RESET_SUCCESSES) this.#ejections = 0
+    this.#endUnresponsive()
     if (this.trust !== Trust.Probing) return
     this.allowed *= 2
     if (this.allowed >= this.#slots) this.trust = Trust.Full
   }
 
-  noteFailure (): void {
-    this.failureRate += (1 - this.failureRate) * FAILURE_RATE
-    this.#successes = 0
-    this.#closures = 0
-    this.#noteLife()
+  recordFailure (): void {
+    this.failureRate += (1 - this.failureRate) * FAILURE_SMOOTHING
+    this.#consecutiveSuccesses = 0
+    this.#refusalEjections = 0
+    this.#endUnresponsive()
     if (this.trust === Trust.Probing) this.allowed = Math.max(1, Math.floor(this.allowed / 2))
   }
 
@@ -91,23 +91,23 @@
     const duration = EJECTION_MILLISECONDS * 2 ** this.#ejections
     this.#ejections += 1
     this.trust = Trust.Ejected
-    this.probeAt = now + Math.min(LONGEST_EJECTION_MILLISECONDS, duration)
+    this.probeAt = now + Math.min(MAX_EJECTION_MILLISECONDS, duration)
   }
 
   /**
-   * It refused what it had room for: its target cannot be reached, or its agent is cut off. That
-   * is no matter of chance, as failures are, so one refusal is enough; and it cost no task, so it
-   * is asked again sooner.
+   * Ejects a target that refused a task although it had free capacity: the target cannot be reached, or its
+   * agent is cut off. Unlike failures this is not a matter of chance, so one refusal is enough. No task was
+   * lost, so it is probed again sooner than after failures.
    */
   close (now: number): void {
-    const duration = CLOSED_MILLISECONDS * 2 ** this.#closures
-    this.#closures += 1
+    const duration = REFUSAL_EJECTION_MILLISECONDS * 2 ** this.#refusalEjections
+    this.#refusalEjections += 1
     this.trust = Trust.Ejected
-    this.probeAt = now + Math.min(LONGEST_EJECTION_MILLISECONDS, duration)
+    this.probeAt = now + Math.min(MAX_EJECTION_MILLISECONDS, duration)
   }
 
-  /** It is busy and gave no sign of life for long: out until it gives one, or until its next probe. */
-  noteSilence (now: number): void {
+  /** Ejects a busy target that has not responded for long, until it responds or its next probe is due. */
+  ejectUnresponsive (now: number): void {
     this.eject(now)
     this.#silent = true
   }
@@ -118,72 +118,78 @@
     this.allowed = 1
   }
 
-  /** A failed probe: out again, without waiting for a rate to build up. */
+  /**
+   * Whether the target is probed after an ejection. A failed probe ejects it again at once, without waiting
+   * for its failure rate to rise.
+   */
   get onProbation (): boolean {
     return this.trust === Trust.Probing && this.#ejections > 0
   }
 
   /**
-   * The target announced itself, again or for the first time. One that comes and goes is kept out
-   * for a while each time: it looks healthy for as long as it is up, and each loss of it costs the
-   * tasks that it had.
+   * Records that the target connected, for the first time or again. A target that reconnects too often is
+   * ejected for a while each time: it looks healthy while it is connected, and each disconnect loses the
+   * tasks it had.
    */
-  noteReturn (now: number): void {
+  recordReturn (now: number): void {
     const elapsed = now - this.#returnedAt
     this.#flaps = this.#flaps * 2 ** (-elapsed / FLAP_HALF_LIFE_MILLISECONDS) + 1
     this.#returnedAt = now
-    if (this.#flaps > FLAPS_TOLERATED) this.eject(now)
+    if (this.#flaps > MAX_FLAPS) this.eject(now)
     else if (this.trust !== Trust.Ejected) this.trust = Trust.Probing
-    this.allowed = this.#quarter()
+    this.allowed = this.#initialLimit()
   }
 
-  #noteLife (): void {
+  #endUnresponsive (): void {
     if (!this.#silent) return
     this.#silent = false
     this.trust = Trust.Probing
-    this.allowed = this.#quarter()
+    this.allowed = this.#initialLimit()
   }
 
-  #quarter (): number {
+  #initialLimit (): number {
     return Math.max(1, Math.ceil(this.#slots / 4))
   }
 
-  /** A slow target gets little and so shows little: without ageing it would never be tried again. */
+  /**
+   * Logarithm of the slowness, which decays with time. A slow target gets few tasks and therefore few
+   * measurements; without the decay it would never be tried again.
+   */
   #agedSlowness (now: number): number {
     return this.#logSlowness * 2 ** (-(now - this.#measuredAt) / SLOWNESS_HALF_LIFE_MILLISECONDS)
   }
 }
 
-/** Failure rates of the fleet, and how much of it may be ejected. */
+/** Failure rates of the fleet and the number of ejected targets. */
 export class FleetHealth {
   #live = 0
   #ejected = 0
-  #rates = 0
+  #failureRateSum = 0
 
   add (health: TargetHealth): void {
     this.#live += 1
-    this.#rates += health.failureRate
+    this.#failureRateSum += health.failureRate
     if (health.trust === Trust.Ejected) this.#ejected += 1
   }
 
   remove (health: TargetHealth): void {
     this.#live -= 1
-    this.#rates -= health.failureRate
+    this.#failureRateSum -= health.failureRate
     if (health.trust === Trust.Ejected) this.#ejected -= 1
   }
 
-  /** Tells whether the target, which is counted here, is at fault and can be spared. */
+  /** Whether a target of this fleet is at fault and can be spared. */
   shouldEject (health: TargetHealth): boolean {
     if (!this.canSpare(health)) return false
     if (health.onProbation) return true
-    const others = this.#live > 1 ? (this.#rates - health.failureRate) / (this.#live - 1) : 0
+    const others = this.#live > 1 ? (this.#failureRateSum - health.failureRate) / (this.#live - 1) : 0
     return health.failureRate >= EJECTION_THRESHOLD && health.failureRate >= EJECTION_CONTRAST * others
   }
 
-  /** Tells whether the target, which is counted here, may go without too few being left. */
+  /** Whether a target of this fleet can be ejected while enough others remain. */
   canSpare (health: TargetHealth): boolean {
     if (health.trust === Trust.Ejected) return false
-    const kept = Math.max(1, Math.ceil(this.#live * NEVER_EJECTED_PART))
-    return this.#ejected + 1 <= this.#live - kept
+    const minimum = Math.max(1, Math.ceil(this.#live * NEVER_EJECTED_FRACTION))
+    return this.#ejected + 1 <= this.#live - minimum
   }
 }
--- a/packages/coordination/src/heap.ts
+++ b/packages/coordination/src/heap.ts
@@ -1,8 +1,8 @@
-/** A binary heap that knows where each item stands, so that an item can be moved or removed. */
+/** A binary heap that indexes the position of each item, so that any item can be moved or removed. */
 
 /**
- * Smallest key first, and where keys are equal the smallest tie; insertion, removal and change of a
- * key take logarithmic time.
+ * Orders items by smallest key, then by smallest tie. Insertion, removal and a change of key take
+ * logarithmic time.
  */
 export class IndexedHeap<Item> {
   readonly #items: Item[] = []
@@ -26,7 +26,7 @@
     return this.#keys[0]
   }
 
-  /** Inserts the item, or moves it when it is already here. */
+  /** Inserts the item, or updates its key if it is already in the heap. */
   set (item: Item, key: number, tie = 0): void {
     const position = this.#positions.get(item)
     if (position === undefined) {
@@ -34,13 +34,13 @@
       this.#keys.push(key)
       this.#ties.push(tie)
       this.#positions.set(item, this.#items.length - 1)
-      this.#rise(this.#items.length - 1)
+      this.#siftUp(this.#items.length - 1)
       return
     }
     this.#keys[position] = key
     this.#ties[position] = tie
-    this.#rise(position)
-    this.#sink(this.#positions.get(item) as number)
+    this.#siftUp(position)
+    this.#siftDown(this.#positions.get(item) as number)
   }
 
   delete (item: Item): boolean {
@@ -53,8 +53,8 @@
     this.#ties.pop()
     this.#positions.delete(item)
     if (position < last) {
-      this.#rise(position)
-      this.#sink(position)
+      this.#siftUp(position)
+      this.#siftDown(position)
     }
     return true
   }
@@ -65,12 +65,12 @@
     return item
   }
 
-  /** Items in no useful order. */
+  /** All items, in no particular order. */
   values (): readonly Item[] {
     return this.#items
   }
 
-  #rise (start: number): void {
+  #siftUp (start: number): void {
     let position = start
     while (position > 0) {
       const parent = (position - 1) >> 1
@@ -80,7 +80,7 @@
     }
   }
 
-  #sink (start: number): void {
+  #siftDown (start: number): void {
     let position = start
     while (true) {
       const child = this.#smallerChild(position)
--- a/packages/coordination/src/jobs.ts
+++ b/packages/coordination/src/jobs.ts
@@ -1,5 +1,5 @@
 /**
- * The jobs that an entry runs: from the claim over dispatch and results to the answer, which stays
+ * The jobs that an entry runs, from acceptance through dispatch and results to the answer. Answers are kept
  * for callers that ask again.
  */
 import type { EntryContext } from './entrycontext.ts'
@@ -8,33 +8,34 @@
 import type { Scheduler } from './scheduling.ts'
 import { AnsweredJobs } from './answeredjobs.ts'
 import { Dispatching, schedulableTasks } from './dispatching.ts'
-import { answerWithout, Execution, isForgotten } from './execution.ts'
+import { answerWithoutResults, Execution, releasesJobId } from './execution.ts'
 import { IndexedHeap } from './heap.ts'
 import { AnswerKind, Cause, JobState } from './messages.ts'
 import { Refusals } from './refusals.ts'
 import { SecondMemory } from './secondmemory.ts'
 
-/** Tells an entry, this one or another, the answer to one of its requests. */
+/** Sends the answer of a request to the entry that received the request, which may be this one. */
 export type Reply = (to: Attachment, job: JobKey, answer: Answer, now: number) => void
 
-/** Least time between two log lines on refused jobs, in milliseconds. */
-const REFUSAL_LINE_MILLISECONDS = 100
+/** Minimum interval between two log lines on refused jobs, in milliseconds. */
+const REFUSAL_LOG_INTERVAL_MILLISECONDS = 100
 
+/** Holds the jobs of one entry: running, answered, and orphaned by a lost entry. */
 export class Jobs {
   readonly #context: EntryContext
   readonly #scheduler: Scheduler
   readonly #reply: Reply
   readonly #held = new Map<JobKey, Execution>()
   readonly #answered: AnsweredJobs
-  /** Jobs of lost entries that nobody has submitted again, oldest first. */
+  /** Jobs of lost entries that no caller has submitted again, oldest first. */
   readonly #orphans = new Map<JobKey, Execution>()
   readonly #refusals: Refusals
   readonly #deadlines = new IndexedHeap<Execution>()
   readonly #dispatching: Dispatching
   readonly #secondMemory: SecondMemory
   #open = 0
-  #refusalSaidAt = Number.NEGATIVE_INFINITY
-  #refusalsUnsaid = 0
+  #refusalLoggedAt = Number.NEGATIVE_INFINITY
+  #unloggedRefusals = 0
 
   constructor (context: EntryContext, scheduler: Scheduler, reply: Reply) {
     const { retention } = context.timings
@@ -64,24 +65,25 @@
   }
 
   /**
-   * Takes a job that nobody remembers, or refuses it.
+   * Accepts a job of which no record exists, or refuses it.
    *
-   * @param forgotten whether it may have run before the memory begins: "not run" is never said then
+   * @param mayPredateHorizon whether the job may have run before the recorded period: the answer then never
+   * states that it did not run
    */
-  accept (job: Job, from: Attachment, forgotten: boolean, now: number): void {
+  accept (job: Job, from: Attachment, mayPredateHorizon: boolean, now: number): void {
     const tasks = schedulableTasks(job, now)
     const admission = this.#open >= this.#context.limits.openJobs
       ? { admitted: false as const, cause: Cause.Overloaded, detail: 'too many jobs are open at this entry', retryAfterMilliseconds: 1000 }
       : this.#scheduler.admit(tasks, now)
     if (!admission.admitted) {
       const { cause, detail, retryAfterMilliseconds, figures } = admission
-      this.#noteRefusal(job, { cause, ...figures }, now)
-      const kind = forgotten ? AnswerKind.MayHaveRun : AnswerKind.Refused
-      this.refuse(job.key, from, answerWithout(kind, cause, detail, retryAfterMilliseconds), now)
+      this.#logRefusal(job, { cause, ...figures }, now)
+      const kind = mayPredateHorizon ? AnswerKind.MayHaveRun : AnswerKind.Refused
+      this.refuse(job.key, from, answerWithoutResults(kind, cause, detail, retryAfterMilliseconds), now)
       return
     }
     const execution = new Execution(job.key, job.digest, now)
-    execution.forgotten = forgotten
+    execution.mayPredateHorizon = mayPredateHorizon
     this.#held.set(job.key, execution)
     this.#open += 1
     execution.begin(job, now)
@@ -90,40 +92,40 @@
     this.#secondMemory.require(execution, from, now)
   }
 
-  /** Under overload few of the refusals are logged, with the count of the others. */
-  #noteRefusal (job: Job, fields: Record<string, unknown>, now: number): void {
-    this.#refusalsUnsaid += 1
-    if (now - this.#refusalSaidAt < REFUSAL_LINE_MILLISECONDS) return
-    this.#context.emit({ type: 'note', what: 'job refused', fields: { job: job.key, tasks: job.tasks.length, ...fields, unsaid: this.#refusalsUnsaid - 1, trust: this.#scheduler.status().health } })
-    this.#refusalSaidAt = now
-    this.#refusalsUnsaid = 0
+  /** Logs a refusal, with the count of those not logged. Under overload most refusals are only counted. */
+  #logRefusal (job: Job, fields: Record<string, unknown>, now: number): void {
+    this.#unloggedRefusals += 1
+    if (now - this.#refusalLoggedAt < REFUSAL_LOG_INTERVAL_MILLISECONDS) return
+    this.#context.emit({ type: 'note', what: 'job refused', fields: { job: job.key, tasks: job.tasks.length, ...fields, unsaid: this.#unloggedRefusals - 1, trust: this.#scheduler.status().health } })
+    this.#refusalLoggedAt = now
+    this.#unloggedRefusals = 0
   }
 
-  /** Whether a job that nobody has seen before would be taken now. */
-  admits (job: Job, now: number): boolean {
+  /** Whether a new job would be accepted now. */
+  wouldAdmit (job: Job, now: number): boolean {
     return this.#scheduler.admit(schedulableTasks(job, now), now).admitted
   }
 
-  /** Answers one request with a refusal, and every copy of that request with the same one. */
+  /** Refuses one request. Every copy of that request gets the same answer. */
   refuse (job: JobKey, to: Attachment, answer: Answer, now: number): void {
     this.#refusals.keep(to, answer, now)
     this.#reply(to, job, answer, now)
   }
 
-  /** The refusal that this very request was given before. */
-  earlierRefusal (from: Attachment): Answer | undefined {
+  /** The refusal that the same request received before. */
+  previousRefusal (from: Attachment): Answer | undefined {
     if (!this.#context.guards.submission) return undefined
     return this.#refusals.of(from)
   }
 
   /**
-   * Attaches a further request to a job that is held here.
+   * Attaches another request to a job that is held here.
    *
    * @param ledgersComplete whether every ledger that may name a job of a lost entry was read
    */
   attach (execution: Execution, job: Job, from: Attachment, ledgersComplete: boolean, now: number): void {
     if (execution.digest !== '' && execution.digest !== job.digest) {
-      this.refuse(job.key, from, answerWithout(AnswerKind.Refused, Cause.IdReused, 'this job id was used before with other content: use a new id'), now)
+      this.refuse(job.key, from, answerWithoutResults(AnswerKind.Refused, Cause.IdReused, 'this job id was used before with other content: use a new id'), now)
       return
     }
     if (execution.answer !== undefined) {
@@ -134,7 +136,7 @@
     if (execution.orphan) this.#resume(execution, job, ledgersComplete, now)
   }
 
-  /** Holds what is known of a job whose entry was lost, until somebody submits it again. */
+  /** Holds what is known of a lost entry's job until a caller submits it again. */
   adopt (key: JobKey, digest: string, lostExecutor: Instance, now: number): Execution {
     const known = this.#held.get(key)
     if (known !== undefined) {
@@ -149,8 +151,8 @@
   }
 
   /**
-   * Gives up what is held of jobs of lost entries that belong to another entry now: it asks the
-   * agents itself, so that one entry alone decides what of the job is run.
+   * Releases the jobs of lost entries that now belong to another entry. That entry asks the agents itself,
+   * so that only one entry decides which tasks of a job run.
    */
   releaseOrphans (owned: (job: JobKey) => boolean): Receipt[] {
     const released: Receipt[] = []
@@ -174,25 +176,28 @@
     this.#seal(execution, answer, now)
   }
 
-  adoptLine (agent: Instance, line: LedgerLine, now: number): void {
+  adoptLedgerLine (agent: Instance, line: LedgerLine, now: number): void {
     const execution = this.adopt(line.job, '', '', now)
     if (!execution.resumable) return
-    execution.noteLine(agent, line)
-    this.#dispatching.noteAttempt(line.attempt)
-    this.#dispatching.noteAt(agent, execution)
+    execution.recordLedgerLine(agent, line)
+    this.#dispatching.recordAttempt(line.attempt)
+    this.#dispatching.recordPlacement(agent, execution)
   }
 
-  /** The backup has the receipt: the first dispatch may go out. */
+  /** Handles a backup's confirmation of a receipt, after which the first dispatch may be sent. */
   receiptKept (job: JobKey, backup: Instance, now: number): void {
     this.#secondMemory.kept(this.#held.get(job), backup, now)
   }
 
-  /** A link to a peer is up: receipts that could not be sent, or were lost with the old link, go out. */
+  /**
+   * Handles a new link to a peer: receipts that could not be sent, or were lost with the old link, are
+   * sent.
+   */
   peerConnected (peer: Instance, now: number): void {
     this.#secondMemory.peerConnected(this.#held.values(), peer, now)
   }
 
-  /** A peer is gone: receipts that it was to keep go to the next one. */
+  /** Handles the loss of a peer: receipts that it should have kept are sent to the next one. */
   peerLost (peer: Instance, now: number): void {
     this.#secondMemory.peerLost(this.#held.values(), peer, now)
   }
@@ -201,57 +206,59 @@
     this.#context.sendAgent(agent, { case: 'acknowledge', value: { tasks: [referenceOf(result)] } })
     const execution = this.#held.get(result.job)
     if (execution === undefined || execution.answer !== undefined) return
-    if (execution.orphan) execution.noteResult(agent, result)
+    if (execution.orphan) execution.recordResult(agent, result)
     else this.#finishWith(execution, this.#dispatching.result(execution, agent, result, now), now)
   }
 
-  /** Sends again what an agent whose link was cut may not have received; its ledger knows copies. */
+  /**
+   * Sends again what an agent may not have received when its link was cut; its ledger detects duplicates.
+   */
   agentReconnected (agent: Instance, now: number): void {
     this.#dispatching.agentReconnected(agent, now)
   }
 
-  /** The agent is given up: what it had may have run. */
+  /** Handles the loss of an agent: its unfinished tasks may have run. */
   agentLost (agent: Instance, now: number): void {
-    for (const execution of this.#dispatching.takeFrom(agent)) {
+    for (const execution of this.#dispatching.removeAgent(agent)) {
       if (execution.answer !== undefined) continue
-      if (execution.orphan) execution.noteAgentLost(agent)
-      else this.#finishWith(execution, this.#dispatching.loseTasks(execution, agent, now), now)
+      if (execution.orphan) execution.recordAgentLost(agent)
+      else this.#finishWith(execution, this.#dispatching.settleLostTasks(execution, agent, now), now)
     }
   }
 
-  /** Breaks a job off; its answer says what is provable. */
+  /** Cancels a job; the answer claims only what is provable. */
   cancel (execution: Execution, now: number): void {
     if (execution.answer !== undefined || execution.orphan) return
-    const answer = execution.brokenOffAnswer(Cause.Cancelled, 'the job was cancelled', 0)
+    const answer = execution.interruptedAnswer(Cause.Cancelled, 'the job was cancelled', 0)
     this.#finish(execution, answer, now)
   }
 
   stateOf (execution: Execution): JobState {
     if (execution.answer !== undefined) return JobState.Answered
-    return execution.touched ? JobState.Running : JobState.Queued
+    return execution.mayHaveStarted ? JobState.Running : JobState.Queued
   }
 
-  /** Dispatches what may run now. */
+  /** Dispatches the tasks that may run now. */
   dispatch (now: number): void {
     this.#dispatching.dispatch(this.#held, now)
   }
 
   tick (now: number): void {
     for (let next = this.#deadlines.peek(); next !== undefined && next.deadline <= now; next = this.#deadlines.peek()) {
-      const answer = next.brokenOffAnswer(Cause.DeadlinePassed, 'the deadline passed before every task had ended', 1000)
+      const answer = next.interruptedAnswer(Cause.DeadlinePassed, 'the deadline passed before every task had ended', 1000)
       this.#finish(next, answer, now)
     }
     this.#expire(now)
   }
 
-  /** Restarts an orphaned job with its content: what provably never started is run. */
+  /** Resumes an orphaned job once its content is known: tasks that provably never started are run. */
   #resume (execution: Execution, job: Job, ledgersComplete: boolean, now: number): void {
     execution.begin(job, now)
     this.#orphans.delete(execution.key)
     this.#open += 1
     this.#deadlines.set(execution, execution.deadline)
-    this.#dispatching.noteAttempt(execution.highestAttempt)
-    const answer = execution.applyLines(ledgersComplete || !this.#context.guards.ledgersComplete)
+    this.#dispatching.recordAttempt(execution.highestAttempt)
+    const answer = execution.applyLedgerLines(ledgersComplete || !this.#context.guards.ledgersComplete)
     if (answer !== undefined) {
       this.#finish(execution, answer, now)
       return
@@ -264,7 +271,7 @@
     if (answer !== undefined) this.#finish(execution, answer, now)
   }
 
-  /** Gives the final answer, at once, and takes back what is still queued or running. */
+  /** Answers the job immediately and cancels its queued and running tasks. */
   #finish (execution: Execution, answer: Answer, now: number): void {
     const job = execution.job as Job
     this.#dispatching.withdraw(execution, now)
@@ -273,12 +280,12 @@
     this.#open -= 1
     this.#deadlines.delete(execution)
     this.#seal(execution, answer, now)
-    const forgettable = isForgotten(answer)
+    const releasesId = releasesJobId(answer)
     for (const attachment of attached) {
-      if (forgettable) this.refuse(job.key, attachment, answer, now)
+      if (releasesId) this.refuse(job.key, attachment, answer, now)
       else this.#reply(attachment, job.key, answer, now)
     }
-    if (forgettable) this.#forget(execution)
+    if (releasesId) this.#forget(execution)
     const wholeMilliseconds = now - execution.arrivedAt
     const idealMilliseconds = execution.longestRun
     this.#context.emit({ type: 'jobFinished', tenant: job.tenant, service: job.service, answer, tasks, wholeMilliseconds, idealMilliseconds })
--- a/packages/coordination/src/placement.ts
+++ b/packages/coordination/src/placement.ts
@@ -1,26 +1,26 @@
-/** Where a task goes: the provider whose turn it is, and the best of its targets that have room. */
+/** Places tasks: selects the provider by its share, and the best of its targets with free capacity. */
 import type { ProviderConfiguration, ServiceConfiguration } from './configuration.ts'
 import type { TaskNeeds } from './messages.ts'
 import type { Policy } from './policies.ts'
 import type { SchedulableTask } from './scheduling.ts'
-import { SHARE_PATIENCE_PART } from './schedulingdefaults.ts'
+import { SHARE_WAIT_FRACTION } from './schedulingdefaults.ts'
 import { ShareSequence } from './shares.ts'
 import type { Target } from './target.ts'
-import type { Fleet, Pool } from './targets.ts'
+import type { Fleet, Pool } from './fleet.ts'
 import type { Lane, QueuedTask } from './taskqueue.ts'
 
 interface Route {
   generation: number
-  /** Pools that could run the tasks, by provider. */
+  /** Pools that could run the tasks of the lane, by provider. */
   pools: Map<string, Pool[]>
 }
 
-/** Until when the task waits for the provider whose turn it is. */
-function patienceEnd (item: QueuedTask): number {
-  return item.enqueuedAt + (item.task.deadline - item.enqueuedAt) * SHARE_PATIENCE_PART
+/** Until when the task waits for the provider selected by the shares. */
+function shareWaitEnd (item: QueuedTask): number {
+  return item.enqueuedAt + (item.task.deadline - item.enqueuedAt) * SHARE_WAIT_FRACTION
 }
 
-/** Places tasks by shares, health and policy. */
+/** Places tasks by provider shares, target health and policy. */
 export class Placement {
   readonly #fleet: Fleet
   readonly #policy: Policy
@@ -28,8 +28,8 @@
   readonly #shares = new Map<string, ShareSequence>()
   readonly #routes = new WeakMap<Lane, Route>()
   #services: Readonly<Record<string, ServiceConfiguration>> = {}
-  /** When the first task that waits for its provider's turn loses patience; infinite when none does. */
-  patienceEnds = Infinity
+  /** Instant at which the first task stops waiting for its provider; infinite when none waits. */
+  nextShareWaitEnd = Infinity
 
   constructor (fleet: Fleet, policy: Policy, random: () => number) {
     this.#fleet = fleet
@@ -48,24 +48,27 @@
     this.#services = services
   }
 
-  /** A round of decisions begins. */
-  begin (): void {
-    this.patienceEnds = Infinity
+  /** Starts a round of decisions. */
+  beginRound (): void {
+    this.nextShareWaitEnd = Infinity
   }
 
-  /** The target for the task; `room` is the part of an agent's credit that its tenant may fill. */
-  place (item: QueuedTask, room: number, now: number): Target | undefined {
+  /**
+   * Returns the target for the task; undefined when none can take it now. `creditFraction` is the fraction
+   * of an agent's credit that its tenant may fill.
+   */
+  place (item: QueuedTask, creditFraction: number, now: number): Target | undefined {
     const { lane } = item
     const shares = this.#shares.get(lane.service)
     if (shares === undefined) return undefined
     const pools = this.#route(lane)
-    const present = shares.providers().filter(provider => pools.get(provider)?.some(pool => pool.usable > 0) === true)
-    let candidates = present
+    const participating = shares.providers().filter(provider => pools.get(provider)?.some(pool => pool.usable > 0) === true)
+    let candidates = participating
     while (candidates.length > 0) {
-      const provider = shares.next(candidates, present) as string
+      const provider = shares.next(candidates, participating) as string
       const target = this.#choose(pools.get(provider) as Pool[], lane.needs)
-      if (target !== undefined && target.outstanding < room * target.report.credit) {
-        shares.take(provider, present)
+      if (target !== undefined && target.outstanding < creditFraction * target.report.credit) {
+        shares.recordDispatch(provider, participating)
         return target
       }
       if (candidates.length > 1 && this.#waits(item, now)) return undefined
@@ -74,14 +77,14 @@
     return undefined
   }
 
-  /** Tells whether some target, live or known before, could run the task. */
+  /** Whether some target, connected or seen before, could run the task. */
   couldRun (task: SchedulableTask): boolean {
     const pools = this.#poolsFor(task.service, task.needs)
     return this.#providers(task.service).some(provider => pools.has(provider))
   }
 
-  /** Tells whether a provider of the service has fewer targets than operators expect of it. */
-  awaitsTargets (service: string, expected: Readonly<Record<string, ProviderConfiguration>>): boolean {
+  /** Whether a provider of the service has fewer usable targets than configured as expected. */
+  lacksExpectedTargets (service: string, expected: Readonly<Record<string, ProviderConfiguration>>): boolean {
     return this.#providers(service).some(provider => {
       let usable = 0
       for (const pool of this.#fleet.pools()) {
@@ -91,7 +94,7 @@
     })
   }
 
-  /** Slots of all targets that take work now, or of those that take the service's. */
+  /** Slots of all usable targets, or of those that serve `service` when it is given. */
   usableSlots (service?: string): number {
     const providers = service === undefined ? undefined : this.#providers(service)
     let slots = 0
@@ -103,9 +106,9 @@
   }
 
   #waits (item: QueuedTask, now: number): boolean {
-    const end = patienceEnd(item)
+    const end = shareWaitEnd(item)
     if (now >= end) return false
-    this.patienceEnds = Math.min(this.patienceEnds, end)
+    this.nextShareWaitEnd = Math.min(this.nextShareWaitEnd, end)
     return true
   }
 
@@ -139,9 +142,9 @@
     const pools = new Map<string, Pool[]>()
     for (const pool of this.#fleet.pools()) {
       if (!pool.couldRun(service, needs)) continue
-      const same = pools.get(pool.provider)
-      if (same === undefined) pools.set(pool.provider, [pool])
-      else same.push(pool)
+      const existing = pools.get(pool.provider)
+      if (existing === undefined) pools.set(pool.provider, [pool])
+      else existing.push(pool)
     }
     return pools
   }
--- a/packages/coordination/src/policies.ts
+++ b/packages/coordination/src/policies.ts
@@ -1,27 +1,38 @@
 /**
- * How a target is chosen among those of one provider that have room. The first four are baselines
- * to measure against; the default is the one that did best on the same work (see docs/DECISIONS.md).
+ * Policies that choose a target among those of one provider with free capacity. The first four are
+ * baselines for comparison; the default performed best on the same workloads (see docs/DECISIONS.md).
  */
 import type { IndexedHeap } from './heap.ts'
 import type { Target } from './target.ts'
 
-/** Names of the policies, as settings give them. */
+/** Names of the policies, as used in settings. */
 export enum PolicyName {
-  /** Any target with room. */
+  /** A random target with free capacity. */
   Random = 'random',
-  /** The less loaded of two drawn at random, by last reported load. */
+  /** The less loaded of two random targets, by last reported load. */
   PowerOfTwo = 'powerOfTwo',
-  /** The shortest expected wait by last reported load, aged, and own dispatches since. */
+  /**
+   * The shortest expected wait, from the last reported load, weighted by its age, and this entry's
+   * dispatches since.
+   */
   LeastExpectedWait = 'leastExpectedWait',
-  /** Fewest own outstanding, within a fixed equal part of the slots that no other entry uses. */
+  /**
+   * Fewest outstanding tasks of this entry, within a fixed equal fraction of the slots that no other entry
+   * uses.
+   */
   SlotCredits = 'slotCredits',
-  /** Fewest own outstanding per trusted slot, within credits that overlap. */
+  /**
+   * Fewest outstanding tasks of this entry per slot, weighted by slowness, within credits that overlap
+   * between entries.
+   */
   EvenSpread = 'evenSpread'
 }
 
-/** One way to choose. */
+/** A policy: the rank of targets, the choice among them, and the limit per target. */
 export interface Policy {
-  /** Order of the targets with room: smallest first. Read again whenever the target changes. */
+  /**
+   * Sort key among targets with free capacity, smallest first. Computed again whenever the target changes.
+   */
   rank: (target: Target, now: number) => number
   choose: (available: IndexedHeap<Target>, random: () => number) => Target | undefined
   /** Tasks that this entry may have outstanding at the target. */
@@ -47,7 +58,7 @@
   return target.report.credit
 }
 
-function equalPart (target: Target, entries: number): number {
+function equalShare (target: Target, entries: number): number {
   return Math.max(1, Math.floor(target.description.slots / entries + target.tie))
 }
 
@@ -56,7 +67,10 @@
   return ((target.outstanding + target.tie) / target.description.slots) * slowness * slowness + slowness - 1
 }
 
-/** Expected wait, in parts of the slots' mean run time; own load decides where no wait is expected. */
+/**
+ * Expected wait, as a fraction of the mean run time per slot; the load breaks ties when no wait is
+ * expected.
+ */
 function expectedWait (target: Target, now: number): number {
   const { slots } = target.description
   const held = target.outstanding + target.othersLoad(now)
@@ -69,6 +83,6 @@
   [PolicyName.Random]: { rank: () => 0, choose: sample, limit: credit },
   [PolicyName.PowerOfTwo]: { rank: () => 0, choose: betterOfTwo, limit: credit },
   [PolicyName.LeastExpectedWait]: { rank: expectedWait, choose: first, limit: credit },
-  [PolicyName.SlotCredits]: { rank: ownLoad, choose: first, limit: equalPart },
+  [PolicyName.SlotCredits]: { rank: ownLoad, choose: first, limit: equalShare },
   [PolicyName.EvenSpread]: { rank: ownLoad, choose: first, limit: credit }
 }
--- a/packages/coordination/src/presence.ts
+++ b/packages/coordination/src/presence.ts
@@ -1,27 +1,27 @@
-/** Which tenants are about: those whose jobs came lately share the slots. */
+/** Tracks the active tenants. Tenants with recent jobs share the slots. */
 import type { TenantQuotas } from './quotas.ts'
-import { TENANT_PRESENT_MILLISECONDS } from './schedulingdefaults.ts'
+import { TENANT_ACTIVE_MILLISECONDS } from './schedulingdefaults.ts'
 
-/** Tenants by their last job, with the sum of their weights. */
-export class TenantPresence {
-  /** By last job, the longest ago first. */
-  readonly #seen = new Map<string, number>()
+/** Last job of each tenant, from which the fair shares of the active tenants are computed. */
+export class TenantActivity {
+  /** Instant of the last job by tenant, oldest first. */
+  readonly #lastJobAt = new Map<string, number>()
 
   note (tenant: string, now: number): void {
-    this.#seen.delete(tenant)
-    this.#seen.set(tenant, now)
-    for (const [oldest, seenAt] of this.#seen) {
-      if (now - seenAt <= TENANT_PRESENT_MILLISECONDS) return
-      this.#seen.delete(oldest)
+    this.#lastJobAt.delete(tenant)
+    this.#lastJobAt.set(tenant, now)
+    for (const [oldest, lastAt] of this.#lastJobAt) {
+      if (now - lastAt <= TENANT_ACTIVE_MILLISECONDS) return
+      this.#lastJobAt.delete(oldest)
     }
   }
 
-  /** The tenant's weight over the weights of all tenants that are about, itself among them. */
+  /** Fair share of the tenant: its weight divided by the weights of all active tenants including itself. */
   part (tenant: string, quotas: TenantQuotas, now: number): number {
     const own = quotas.weight(tenant)
     let sum = own
-    for (const [other, seenAt] of this.#seen) {
-      if (other !== tenant && now - seenAt <= TENANT_PRESENT_MILLISECONDS) sum += quotas.weight(other)
+    for (const [other, lastAt] of this.#lastJobAt) {
+      if (other !== tenant && now - lastAt <= TENANT_ACTIVE_MILLISECONDS) sum += quotas.weight(other)
     }
     return own / sum
   }
--- a/packages/coordination/src/questions.ts
+++ b/packages/coordination/src/questions.ts
@@ -4,7 +4,7 @@
 import type { Holders } from './holders.ts'
 import type { Jobs, Reply } from './jobs.ts'
 import type { Answer, Instance, JobKey } from './messages.ts'
-import { answerWithout } from './execution.ts'
+import { answerWithoutResults } from './execution.ts'
 import { AnswerKind, Cause, JobState } from './messages.ts'
 
 /** How long a cancel or look-up waits for another entry, in milliseconds. */
@@ -91,7 +91,7 @@
       return
     }
     if (held.orphan) {
-      this.#reply(from, job, answerWithout(AnswerKind.MayHaveRun, Cause.EntryLost, 'the entry that had the job was lost'), now)
+      this.#reply(from, job, answerWithoutResults(AnswerKind.MayHaveRun, Cause.EntryLost, 'the entry that had the job was lost'), now)
       return
     }
     held.attach(from)
@@ -161,7 +161,7 @@
       return
     }
     const kind = this.#unknownNeverRan(job) ? AnswerKind.Refused : AnswerKind.MayHaveRun
-    this.#reply(from, job, answerWithout(kind, Cause.Cancelled, 'no such job is known: there is nothing to cancel'), now)
+    this.#reply(from, job, answerWithoutResults(kind, Cause.Cancelled, 'no such job is known: there is nothing to cancel'), now)
   }
 
   #expired (submission: string, question: Question): void {
@@ -170,7 +170,7 @@
       this.#context.emit({ type: 'lookedUp', request: question.request, state: JobState.Unknown })
       return
     }
-    const answer = answerWithout(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, 'the entry that has the job did not answer')
+    const answer = answerWithoutResults(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, 'the entry that has the job did not answer')
     this.#context.emit({ type: 'answer', request: question.request, answer })
   }
 }
--- a/packages/coordination/src/quotas.ts
+++ b/packages/coordination/src/quotas.ts
@@ -1,9 +1,9 @@
 /**
- * Rate and slots of each tenant at one entry.
+ * Rate and slot quotas of each tenant at one entry.
  *
- * A quota is divided by the number of entries, so that it holds over all of them with no message:
- * the job ids of a tenant fall evenly over the entries by their hash. A tenant whose few large jobs
- * fall unevenly gets less than its quota for as long, never more.
+ * A quota is divided by the number of entries, so that it holds across them without messages: job ids are
+ * spread evenly over the entries by their hash. A tenant whose few large jobs are spread unevenly gets less
+ * than its quota for that time, never more.
  */
 import type { TenantConfiguration } from './configuration.ts'
 
@@ -13,7 +13,7 @@
   held: number
 }
 
-/** Keeps every tenant within its quotas. */
+/** Tracks the starts and the outstanding tasks of every tenant against its quotas. */
 export class TenantQuotas {
   #tenants: Readonly<Record<string, TenantConfiguration>> = {}
   #entries = 1
@@ -26,12 +26,12 @@
     }
   }
 
-  /** Number of entries that share the quotas. */
+  /** Sets the number of entries that share the quotas. */
   setEntryCount (entries: number): void {
     this.#entries = Math.max(1, entries)
   }
 
-  /** Tells whether the tenant may start one more task now. */
+  /** Whether the tenant may start one more task now. */
   mayStart (tenant: string, now: number): boolean {
     const slots = this.slots(tenant)
     const account = this.#refilled(tenant, now)
@@ -45,14 +45,17 @@
     if (this.#rate(tenant) > 0) account.tokens -= 1
   }
 
-  /** A task of the tenant no longer holds a slot. When it was never started its token is returned. */
+  /** Releases the slot of a task. If the task was never started, its token is returned. */
   end (tenant: string, started: boolean, now: number): void {
     const account = this.#refilled(tenant, now)
     account.held -= 1
     if (!started) account.tokens += 1
   }
 
-  /** When the rate allows the next task; undefined when only the end of a task does. */
+  /**
+   * Instant at which the rate allows the next task; undefined when all slots are taken and only the end of
+   * a task allows it.
+   */
   nextStart (tenant: string, now: number): number | undefined {
     const account = this.#refilled(tenant, now)
     if (account.held >= this.slots(tenant)) return undefined
@@ -61,14 +64,14 @@
     return now + (1 - account.tokens) * 1000 / rate
   }
 
-  /** Time in milliseconds that the rate needs for `tasks` further tasks. */
+  /** Time in milliseconds until the rate allows `tasks` further tasks. */
   rateWait (tenant: string, tasks: number, now: number): number {
     const rate = this.#rate(tenant)
     if (rate === 0) return 0
     return Math.max(0, tasks - this.#refilled(tenant, now).tokens) * 1000 / rate
   }
 
-  /** Slots that the tenant may hold through this entry; infinite when it has no such quota. */
+  /** Slots that the tenant may use through this entry; infinite without a slot quota. */
   slots (tenant: string): number {
     const slots = this.#tenants[tenant]?.slots ?? 0
     return slots === 0 ? Infinity : Math.max(1, Math.floor(slots / this.#entries))
--- a/packages/coordination/src/retries.ts
+++ b/packages/coordination/src/retries.ts
@@ -1,47 +1,48 @@
 /**
- * Repetition of tasks that provably did not start. A few go at once; beyond the budget each waits
- * longer every time, with jitter, so that a fleet that refuses everything is not asked ever faster.
+ * Retries of tasks that provably did not start. A limited number is retried at once; beyond that budget the
+ * delay doubles with each refusal, with jitter, so that a fleet that refuses everything does not receive a
+ * growing rate of retries.
  */
-import { LONGEST_RETRY_DELAY_MILLISECONDS, RETRIES_PER_DISPATCH, RETRIES_REMEMBERED, RETRIES_SAVED, RETRY_DELAY_MILLISECONDS } from './schedulingdefaults.ts'
+import { MAX_RETRY_DELAY_MILLISECONDS, RETRIES_PER_DISPATCH, MAX_TRACKED_REFUSALS, MAX_SAVED_RETRIES, RETRY_DELAY_MILLISECONDS } from './schedulingdefaults.ts'
 
-/** Where a task stood in the queue when it first came. */
-export interface QueuePlace {
+/** Original position of a task in the queue. */
+export interface QueuePosition {
   enqueuedAt: number
-  /** Instant that orders it: lowest first. */
+  /** Instant that orders the task, lowest first. */
   key: number
 }
 
-interface Refusals {
+interface RefusalRecord {
   count: number
-  place: QueuePlace
+  position: QueuePosition
 }
 
-/** Budget of repetitions at one entry. */
+/** Retry budget of one entry, and its refused tasks. */
 export class RetryBudget {
   readonly #random: () => number
-  readonly #refusals = new Map<string, Refusals>()
-  #budget = RETRIES_SAVED
+  readonly #refusals = new Map<string, RefusalRecord>()
+  #budget = MAX_SAVED_RETRIES
 
   constructor (random: () => number) {
     this.#random = random
   }
 
-  noteDispatch (): void {
-    this.#budget = Math.min(RETRIES_SAVED, this.#budget + RETRIES_PER_DISPATCH)
+  recordDispatch (): void {
+    this.#budget = Math.min(MAX_SAVED_RETRIES, this.#budget + RETRIES_PER_DISPATCH)
   }
 
-  noteRefusal (task: string, place: QueuePlace): void {
+  recordRefusal (task: string, position: QueuePosition): void {
     const count = (this.#refusals.get(task)?.count ?? 0) + 1
     this.#refusals.delete(task)
-    this.#refusals.set(task, { count, place })
-    if (this.#refusals.size <= RETRIES_REMEMBERED) return
+    this.#refusals.set(task, { count, position })
+    if (this.#refusals.size <= MAX_TRACKED_REFUSALS) return
     const oldest = this.#refusals.keys().next()
     if (oldest.done !== true) this.#refusals.delete(oldest.value)
   }
 
-  /** The first place of a task that was refused. */
-  place (task: string): QueuePlace | undefined {
-    return this.#refusals.get(task)?.place
+  /** The original position of a refused task; undefined when it was never refused. */
+  position (task: string): QueuePosition | undefined {
+    return this.#refusals.get(task)?.position
   }
 
   /** Delay in milliseconds before the task may be dispatched; 0 for one that was never refused. */
@@ -53,12 +54,12 @@
       this.#budget -= 1
       return 0
     }
-    const longest = Math.min(LONGEST_RETRY_DELAY_MILLISECONDS, RETRY_DELAY_MILLISECONDS * 2 ** refusals)
-    return longest * (0.5 + 0.5 * this.#random())
+    const maximum = Math.min(MAX_RETRY_DELAY_MILLISECONDS, RETRY_DELAY_MILLISECONDS * 2 ** refusals)
+    return maximum * (0.5 + 0.5 * this.#random())
   }
 
-  /** The task has started or is gone. */
-  forget (task: string): void {
+  /** Removes a task that has started or no longer exists. */
+  remove (task: string): void {
     this.#refusals.delete(task)
   }
 }
--- a/packages/coordination/src/router.ts
+++ b/packages/coordination/src/router.ts
@@ -1,6 +1,6 @@
 /**
- * The requests of this entry's callers: each goes to the entry that holds or owns its job, follows
- * the job when entries come and go, and gets one final answer.
+ * Routes the requests of this entry's callers. Each request goes to the entry that holds or owns its job,
+ * is routed again when entries join or leave, and gets one final answer.
  */
 import type { EntryContext } from './entrycontext.ts'
 import type { Attachment } from './execution.ts'
@@ -10,7 +10,7 @@
 import type { Takeover } from './takeover.ts'
 import type { Waiting } from './waiting.ts'
 import { NOT_READY_RETRY_MILLISECONDS } from './defaults.ts'
-import { answerWithout, isForgotten } from './execution.ts'
+import { answerWithoutResults, releasesJobId } from './execution.ts'
 import { Holders } from './holders.ts'
 import { AnswerKind, Cause } from './messages.ts'
 import { Questions } from './questions.ts'
@@ -19,24 +19,38 @@
 import { isMember } from './view.ts'
 import { isAbandoned, newWaiting } from './waiting.ts'
 
-/** Pause before a request that found no holder is routed again, in milliseconds. */
-const REROUTE_MILLISECONDS = 100
+/** Delay before a request without a reachable holder is routed again, in milliseconds. */
+const REROUTE_DELAY_MILLISECONDS = 100
 
-export interface RouterParts {
+/** The parts of the entry that the router uses, and the state that it reads from the entry. */
+export interface RouterDependencies {
   context: EntryContext
   jobs: Jobs
   receipts: Receipts
   takeover: Takeover
-  /** Since when the memory is complete, in milliseconds since 1970; 0 for ever. */
+  /**
+   * Start of the period for which the record of jobs is complete, in milliseconds since 1970; 0 when it
+   * covers all time.
+   */
   horizon: () => number
-  /** Whether this entry is, or was, a member with a complete memory: until then it holds requests back. */
+  /**
+   * Whether this entry is, or was, a member with a complete record of jobs. Requests are held back until
+   * then.
+   */
   ready: () => boolean
-  /** Whether this entry has just joined, and its agents and its configuration may still be on their way. */
+  /**
+   * Whether this entry has joined so recently that its agents and its configuration may not have arrived
+   * yet.
+   */
   settling: (now: number) => boolean
-  /** Whether no other entry can have taken this one's job ids over: "not run" is said only then. */
+  /**
+   * Whether no other entry can have taken over the job ids of this one. Only then may an answer state that
+   * the job did not run.
+   */
   inForce: (now: number) => boolean
 }
 
+/** Tracks the open requests of one entry and the entry to which each was sent. */
 export class Router {
   readonly #context: EntryContext
   readonly #receipts: Receipts
@@ -50,16 +64,16 @@
   readonly #waiting = new Map<JobKey, Waiting>()
   #nextSubmission = 1
 
-  constructor (parts: RouterParts) {
-    this.#context = parts.context
-    this.#receipts = parts.receipts
-    this.#takeover = parts.takeover
-    this.#horizon = parts.horizon
-    this.#ready = parts.ready
-    this.#inForce = parts.inForce
-    this.#holders = new Holders(parts.context, parts.jobs, parts.receipts)
-    this.#taking = this.#newTaking(parts)
-    this.#questions = this.#newQuestions(parts)
+  constructor (dependencies: RouterDependencies) {
+    this.#context = dependencies.context
+    this.#receipts = dependencies.receipts
+    this.#takeover = dependencies.takeover
+    this.#horizon = dependencies.horizon
+    this.#ready = dependencies.ready
+    this.#inForce = dependencies.inForce
+    this.#holders = new Holders(dependencies.context, dependencies.jobs, dependencies.receipts)
+    this.#taking = this.#createTaking(dependencies)
+    this.#questions = this.#createQuestions(dependencies)
   }
 
   get waiting (): number {
@@ -69,7 +83,7 @@
   submit (request: string, job: Job, now: number): void {
     const known = this.#waiting.get(job.key)
     if (known === undefined) {
-      const waiting = newWaiting(this.#newSubmission(), request, job, now)
+      const waiting = newWaiting(this.#createSubmissionId(), request, job, now)
       this.#waiting.set(job.key, waiting)
       this.#route(waiting, now)
       return
@@ -78,25 +92,26 @@
       known.requests.add(request)
       return
     }
-    const answer = answerWithout(AnswerKind.Refused, Cause.IdReused, 'this job id is in use with other content: use a new id')
+    const answer = answerWithoutResults(AnswerKind.Refused, Cause.IdReused, 'this job id is in use with other content: use a new id')
     this.#context.emit({ type: 'answer', request, answer })
   }
 
   /**
-   * A job that is held goes on: the caller may come back for the answer. One that only waits here for
-   * an entry that cannot be reached is passed on no more: its caller may have sent it again elsewhere,
-   * been told "not run", and given it up; run after that, it would make the answer false.
+   * Drops the request of a caller that disconnected. A job that is already held continues, since the caller
+   * may ask for the answer later. A job that still waits here for an unreachable entry is not forwarded any
+   * more: the caller may have submitted it elsewhere, received the answer that it did not run, and
+   * abandoned it. Running it afterwards would make that answer false.
    */
   callerGone (request: string): void {
     for (const waiting of this.#waiting.values()) waiting.requests.delete(request)
   }
 
-  /** A job that another entry forwards to this one. */
+  /** Handles a job that another entry forwarded to this one. */
   forwarded (job: Job, from: Attachment, now: number): void {
     this.#taking.take(job, from, now)
   }
 
-  /** The answer of another entry, or of this one, to a request of this one. */
+  /** Handles an answer, from this entry or another, to a request of this entry. */
   answered (peer: Instance, job: JobKey, submission: string, answer: Answer): void {
     if (this.#questions.answered(submission, answer)) return
     const waiting = this.#waiting.get(job)
@@ -105,7 +120,7 @@
     this.#deliver(waiting, peer, answer)
   }
 
-  /** Another entry says who holds the job. */
+  /** Handles a redirect: another entry names the holder of the job. */
   redirected (peer: Instance, job: JobKey, submission: string, holder: Instance, now: number): void {
     if (this.#questions.redirected(submission, holder)) return
     const waiting = this.#waiting.get(job)
@@ -125,10 +140,13 @@
     this.#routeLater(waiting, now)
   }
 
-  /** Gives an answer to a request of this entry or of another. */
+  /**
+   * Sends an answer to a request of this entry or of another entry. "Not run" is sent only while this entry
+   * is certain that no other one has taken the job over.
+   */
   reply (to: Attachment, job: JobKey, found: Answer, now: number): void {
-    const doubtful = saysNotRun(found) && !this.#inForce(now)
-    const answer = doubtful ? unproved(found, 'another entry may have taken the job over') : found
+    const unproven = saysNotRun(found) && !this.#inForce(now)
+    const answer = unproven ? unproved(found, 'another entry may have taken the job over') : found
     if (to.entry !== this.#context.instance) {
       this.#context.sendPeer(to.entry, { case: 'answer', value: { job, submission: to.submission, answer } })
       return
@@ -136,29 +154,29 @@
     this.answered(this.#context.instance, job, to.submission, answer)
   }
 
-  /** A link is up: what was handed to that peer goes again, under the same submission. */
+  /** Sends requests again to a peer whose link was re-established, under the same submission id. */
   peerConnected (peer: Instance, now: number): void {
     for (const waiting of this.#waiting.values()) {
       if (waiting.sentTo === peer) this.#sendTo(waiting, peer, now)
     }
   }
 
-  /** The members have changed: what was with an entry that is gone is routed anew. */
+  /** Routes requests again whose entry is no longer a member. */
   membersChanged (now: number): void {
     const view = this.#context.view()
     for (const waiting of this.#waiting.values()) {
       if (waiting.sentTo !== undefined && !isMember(view, waiting.sentTo)) this.#route(waiting, now)
     }
-    this.unpark(now)
+    this.retryParked(now)
   }
 
-  /** Looks at the parked jobs again. */
-  unpark (now: number): void {
+  /** Retries the jobs that could not be accepted or forwarded yet. */
+  retryParked (now: number): void {
     this.#taking.unpark(now)
   }
 
   tick (now: number): void {
-    this.unpark(now)
+    this.retryParked(now)
     for (const waiting of this.#waiting.values()) {
       if (now >= waiting.deadline + this.#context.timings.answerGrace) this.#giveUp(waiting)
       else if (waiting.sentTo === undefined && now >= waiting.rerouteAt) this.#route(waiting, now)
@@ -166,10 +184,13 @@
     this.#questions.tick(now)
   }
 
-  /** This entry ends, replaced or stopped: callers that still wait are told to ask the others. */
+  /**
+   * Ends all requests because this entry stops or is replaced. Waiting callers are asked to submit the same
+   * job id to another entry.
+   */
   stopped (): void {
     const detail = 'the entry ended while it had the job: submit the same job id again'
-    const answer = answerWithout(AnswerKind.MayHaveRun, Cause.EntryLost, detail, NOT_READY_RETRY_MILLISECONDS)
+    const answer = answerWithoutResults(AnswerKind.MayHaveRun, Cause.EntryLost, detail, NOT_READY_RETRY_MILLISECONDS)
     for (const waiting of this.#waiting.values()) this.#answerAll(waiting, answer)
     this.#waiting.clear()
     this.#questions.stopped(answer)
@@ -184,23 +205,23 @@
     this.#questions.lookUp(request, job, now)
   }
 
-  /** A cancel that came from another entry. */
+  /** Handles a cancellation forwarded by another entry. */
   cancelFor (from: Attachment, job: JobKey, now: number): void {
     this.#questions.cancelFor(from, job, now)
   }
 
-  /** A look-up that came from another entry. */
+  /** Handles a look-up forwarded by another entry. */
   lookUpFor (from: Attachment, job: JobKey): void {
     this.#questions.lookUpFor(from, job)
   }
 
-  /** What another entry found for a look-up of this one. */
+  /** Handles another entry's result of a look-up from this entry. */
   lookedUp (submission: string, job: JobKey, state: JobState, answer: Answer | undefined): void {
     this.#questions.lookedUp({ entry: this.#context.instance, submission }, job, state, answer)
   }
 
-  #newTaking (parts: RouterParts): Taking {
-    const { context, jobs, receipts, takeover, horizon, ready, settling } = parts
+  #createTaking (dependencies: RouterDependencies): Taking {
+    const { context, jobs, receipts, takeover, horizon, ready, settling } = dependencies
     return new Taking({
       context,
       jobs,
@@ -212,23 +233,23 @@
       settling,
       reply: (to, job, answer, now) => this.reply(to, job, answer, now),
       dropAbandoned: job => this.#dropAbandoned(this.#waiting.get(job)),
-      passOn: (job, holder, now) => this.#passOn(job, holder, now)
+      passOn: (job, holder, now) => this.#forward(job, holder, now)
     })
   }
 
-  #newQuestions ({ context, jobs, ready }: RouterParts): Questions {
+  #createQuestions ({ context, jobs, ready }: RouterDependencies): Questions {
     return new Questions({
       context,
       jobs,
       holders: this.#holders,
       ready,
       unknownNeverRan: job => this.#unknownNeverRan(job),
-      newSubmission: () => this.#newSubmission(),
+      newSubmission: () => this.#createSubmissionId(),
       reply: (to, job, answer, now) => this.reply(to, job, answer, now)
     })
   }
 
-  #newSubmission (): string {
+  #createSubmissionId (): string {
     const submission = String(this.#nextSubmission)
     this.#nextSubmission += 1
     return submission
@@ -237,7 +258,7 @@
   #route (waiting: Waiting, now: number): void {
     if (this.#dropAbandoned(waiting)) return
     if (!this.#ready()) {
-      waiting.rerouteAt = now + REROUTE_MILLISECONDS
+      waiting.rerouteAt = now + REROUTE_DELAY_MILLISECONDS
       return
     }
     const holder = this.#holders.elsewhere(waiting.job.key)
@@ -250,13 +271,16 @@
     this.#taking.take(job, { entry: this.#context.instance, submission: waiting.submission }, now)
   }
 
-  /** Entries that name each other for a moment, while a view spreads, are not asked ever faster. */
+  /**
+   * Schedules the request for routing after a delay. While a new view spreads, two entries may name each
+   * other as the holder; the delay keeps them from redirecting in a tight loop.
+   */
   #routeLater (waiting: Waiting, now: number): void {
     waiting.sentTo = undefined
-    waiting.rerouteAt = now + REROUTE_MILLISECONDS
+    waiting.rerouteAt = now + REROUTE_DELAY_MILLISECONDS
   }
 
-  /** Hands a job to another entry. This entry's receipt is the second memory of the job. */
+  /** Sends a job to another entry. The receipt kept here is the second record of the job. */
   #sendTo (waiting: Waiting, holder: Instance, now: number): void {
     if (this.#dropAbandoned(waiting)) return
     waiting.sentTo = holder
@@ -267,12 +291,12 @@
     this.#keepReceipt(job, holder, now)
   }
 
-  #passOn (job: JobKey, holder: Instance, now: number): void {
+  #forward (job: JobKey, holder: Instance, now: number): void {
     const waiting = this.#waiting.get(job)
     if (waiting !== undefined) this.#sendTo(waiting, holder, now)
   }
 
-  /** Passes a job on no more when nobody waits for it; whether that is so. */
+  /** Stops forwarding a job that no caller waits for; returns whether that applies. */
   #dropAbandoned (waiting: Waiting | undefined): boolean {
     if (waiting === undefined || !isAbandoned(waiting)) return false
     waiting.sentTo = undefined
@@ -280,8 +304,9 @@
   }
 
   /**
-   * A receipt that names an entry which is gone stays: it may have run the job, and the new holder
-   * may never get this message. While the new holder lives, it is asked as the owner of the job.
+   * Records which entry received the job. A receipt that names a removed entry is kept instead: that entry
+   * may have run the job, and the new holder may never receive this message. While the new holder is a
+   * member, requests reach it as the owner of the job.
    */
   #keepReceipt (job: Job, holder: Instance, now: number): void {
     const known = this.#receipts.get(job.key)
@@ -295,14 +320,14 @@
 
   #deliver (waiting: Waiting, from: Instance, answer: Answer): void {
     this.#waiting.delete(waiting.job.key)
-    if (isForgotten(answer)) this.#receipts.drop(waiting.job.key, from)
-    const doubtful = saysNotRun(answer) && !this.#provablyNotRun(waiting)
-    this.#answerAll(waiting, doubtful ? unproved(answer, 'an entry that had the job before may have run it') : answer)
+    if (releasesJobId(answer)) this.#receipts.drop(waiting.job.key, from)
+    const unproven = saysNotRun(answer) && !this.#provablyNotRun(waiting)
+    this.#answerAll(waiting, unproven ? unproved(answer, 'an entry that had the job before may have run it') : answer)
   }
 
   /**
-   * An earlier holder that has not answered may have run the job, unless it was removed and every
-   * agent has said that it obeys that: "not run" is said only when it is provable.
+   * Whether an answer "not run" is proven. An earlier holder that has not answered may have run the job,
+   * unless it was removed from the view and every agent has confirmed that removal.
    */
   #provablyNotRun (waiting: Waiting): boolean {
     if (waiting.unresolved.size === 0) return true
--- a/packages/coordination/src/scheduler.ts
+++ b/packages/coordination/src/scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * The scheduler of one entry. It puts the parts together: the queue says whose task is next, the
- * shares say which provider receives it, health and the policy say which target, and the quotas
- * and the admission keep the rest out.
+ * The scheduler of one entry. The queue selects the next task, the provider shares and the policy select
+ * its target among the healthy ones, and the tenant quotas and the admission decision limit what is
+ * accepted.
  */
 import { decideAdmission, refuse, retryAfter } from './admission.ts'
 import { CapacityMeter } from './capacity.ts'
@@ -14,16 +14,16 @@
 import { Placement } from './placement.ts'
 import { policies, PolicyName } from './policies.ts'
 import { TenantQuotas } from './quotas.ts'
-import { TenantPresence } from './presence.ts'
+import { TenantActivity } from './presence.ts'
 import { RetryBudget } from './retries.ts'
 import type { Admission, Assignment, PlacedTask, SchedulableTask, Scheduler, SchedulerStatus } from './scheduling.ts'
-import { EXCESS_ROOM_PART, TENANT_ORDER_MILLISECONDS } from './schedulingdefaults.ts'
+import { EXCESS_CREDIT_FRACTION, MAX_TENANT_OVERTAKING_MILLISECONDS } from './schedulingdefaults.ts'
 import type { Target } from './target.ts'
-import { Fleet } from './targets.ts'
+import { Fleet } from './fleet.ts'
 import type { Lane, QueuedTask } from './taskqueue.ts'
-import { orderPatience, TaskQueue, taskName } from './taskqueue.ts'
+import { overtakingLimit, TaskQueue, taskName } from './taskqueue.ts'
 
-/** How a scheduler is made. */
+/** Settings of a scheduler. */
 export interface TaskSchedulerOptions {
   /** Random numbers in [0, 1). */
   random: () => number
@@ -38,7 +38,7 @@
   estimate: number
 }
 
-/** Decides who runs next, where, at one entry. */
+/** Selects which task is dispatched next, and to which target, at one entry. */
 export class TaskScheduler implements Scheduler {
   readonly #random: () => number
   readonly #fleet: Fleet
@@ -47,15 +47,15 @@
   readonly #estimates = new RunTimeEstimates()
   readonly #retries: RetryBudget
   readonly #capacity = new CapacityMeter()
-  readonly #presence = new TenantPresence()
+  readonly #tenantActivity = new TenantActivity()
   readonly #placement: Placement
   readonly #outstanding = new Map<string, OutstandingTask>()
-  /** Tenants that their quotas hold back, by when the rate lets them go on. */
-  readonly #heldTenants = new IndexedHeap<string>()
+  /** Tenants at their quota, keyed by the instant at which the rate allows the next start. */
+  readonly #throttledTenants = new IndexedHeap<string>()
   readonly #dispatched: Record<string, Record<string, number>> = {}
   #configuration: Configuration = EMPTY_CONFIGURATION
   #entries = 1
-  /** Instant of the last decision, for the status. */
+  /** Instant of the last decision, at which the status reads the health weights. */
   #now = 0
 
   constructor (options: TaskSchedulerOptions) {
@@ -71,14 +71,14 @@
     this.#quotas.configure(configuration.tenants)
     this.#placement.configure(configuration.services)
     this.#fleet.configure(configuration.draining, now)
-    this.#releaseTenants(now)
+    this.#resumeTenants(now)
   }
 
   setEntryCount (entries: number, now: number): void {
     this.#entries = Math.max(1, entries)
     this.#quotas.setEntryCount(entries)
     this.#fleet.setEntryCount(entries, now)
-    this.#releaseTenants(now)
+    this.#resumeTenants(now)
   }
 
   targetUp (agent: Instance, target: TargetDescription, report: TargetReport, now: number): void {
@@ -105,17 +105,17 @@
     if (this.#configuration.tenants[first.tenant] === undefined) {
       return refuse(Cause.UnknownTenant, `the configuration has no tenant ${first.tenant}`, 0)
     }
-    return this.#refuseUnfit(tasks) ?? this.#admitByTime(tasks, now)
+    return this.#refuseUnrunnable(tasks) ?? this.#admitByDeadline(tasks, now)
   }
 
   enqueue (tasks: readonly SchedulableTask[], now: number): void {
-    const fresh = tasks.filter(task => !this.#enqueueAgain(task, now))
-    if (fresh.length > 0) this.#enqueueFresh(fresh, now)
+    const added = tasks.filter(task => !this.#requeue(task, now))
+    if (added.length > 0) this.#enqueueNew(added, now)
   }
 
   remove (job: JobKey): number[] {
     const items = this.#queue.remove(job)
-    for (const item of items) this.#retries.forget(item.name)
+    for (const item of items) this.#retries.remove(item.name)
     return items.map(item => item.task.index)
   }
 
@@ -123,24 +123,27 @@
     this.#now = now
     this.#advance(now)
     const assignments: Assignment[] = []
-    const aside: Lane[] = []
-    this.#placement.begin()
+    const suspended: Lane[] = []
+    this.#placement.beginRound()
     let lane = this.#queue.nextLane()
     while (lane !== undefined) {
-      const assignment = this.#serve(lane, now)
+      const assignment = this.#dispatchFrom(lane, now)
       if (assignment !== undefined) {
         assignments.push(assignment)
       } else if (this.#queue.nextLane() === lane) {
-        this.#queue.setAside(lane)
-        aside.push(lane)
+        this.#queue.suspend(lane)
+        suspended.push(lane)
       }
       lane = this.#queue.nextLane()
     }
-    for (const waiting of aside) this.#queue.putBack(waiting)
+    for (const suspendedLane of suspended) this.#queue.resume(suspendedLane)
     return assignments
   }
 
-  /** `Unspecified` says that the entry broke the task off, which tells nothing about its target. */
+  /**
+   * Records the end of an outstanding task. `Unspecified` means that the entry cancelled it: that says
+   * nothing about the target.
+   */
   settled (assignment: PlacedTask, outcome: TaskOutcome, runMilliseconds: number, now: number): void {
     const name = taskName(assignment.job, assignment.index)
     const outstanding = this.#outstanding.get(name)
@@ -151,21 +154,21 @@
     const ran = started && outcome !== TaskOutcome.Unspecified
     target.noteSettled(task.needs, estimate, ran, now)
     this.#quotas.end(task.tenant, started, now)
-    this.#releaseTenant(task.tenant, now)
+    this.#resumeTenant(task.tenant, now)
     if (ran) this.#capacity.note(runMilliseconds, now)
-    if (ran) this.#learn(outstanding, outcome, runMilliseconds, now)
-    if (started) this.#retries.forget(name)
-    else this.#noteNotStarted(outstanding, name, now)
+    if (ran) this.#recordRun(outstanding, outcome, runMilliseconds, now)
+    if (started) this.#retries.remove(name)
+    else this.#recordNotStarted(outstanding, name, now)
     this.#fleet.refresh(target, now)
-    this.#fleet.forget(target)
+    this.#fleet.dropIfUnused(target)
   }
 
   nextDecision (_now: number): number | undefined {
     const next = Math.min(
       this.#fleet.nextChange() ?? Infinity,
       this.#queue.nextChange() ?? Infinity,
-      this.#heldTenants.peekKey() ?? Infinity,
-      this.#placement.patienceEnds
+      this.#throttledTenants.peekKey() ?? Infinity,
+      this.#placement.nextShareWaitEnd
     )
     return next === Infinity || this.#queue.size === 0 ? undefined : next
   }
@@ -178,136 +181,141 @@
     return { queued: this.#queue.size, outstanding: this.#outstanding.size, dispatched: this.#dispatched, health, evacuated: this.#fleet.evacuated }
   }
 
-  /** Queues a task at its first place; false when it was never refused. */
-  #enqueueAgain (task: SchedulableTask, now: number): boolean {
+  /** Queues a refused task at its original position; returns false for a task that was never refused. */
+  #requeue (task: SchedulableTask, now: number): boolean {
     const name = taskName(task.job, task.index)
-    const place = this.#retries.place(name)
-    if (place === undefined) return false
+    const position = this.#retries.position(name)
+    if (position === undefined) return false
     const estimate = this.#estimates.predict(task.tenant, task.service, task.runMilliseconds)
-    this.#queue.addAgain(task, estimate, place, this.#retries.delay(name), now)
+    this.#queue.requeue(task, estimate, position, this.#retries.delay(name), now)
     return true
   }
 
-  #enqueueFresh (tasks: readonly SchedulableTask[], now: number): void {
-    this.#presence.note((tasks[0] as SchedulableTask).tenant, now)
+  #enqueueNew (tasks: readonly SchedulableTask[], now: number): void {
+    this.#tenantActivity.note((tasks[0] as SchedulableTask).tenant, now)
     const { tenant } = tasks[0] as SchedulableTask
-    const part = this.#presence.part(tenant, this.#quotas, now)
+    const fairShare = this.#tenantActivity.part(tenant, this.#quotas, now)
     const slots = this.#placement.usableSlots()
     this.#queue.add(tasks, {
       estimate: task => this.#estimates.predict(task.tenant, task.service, task.runMilliseconds),
       slots,
-      tenantSlots: part === 1 ? Infinity : Math.max(1, part * slots / this.#entries)
+      fairShareSlots: fairShare === 1 ? Infinity : Math.max(1, fairShare * slots / this.#entries)
     }, now)
   }
 
   #advance (now: number): void {
     this.#fleet.advance(now)
     this.#queue.advance(now)
-    while ((this.#heldTenants.peekKey() ?? Infinity) <= now) this.#queue.hold(this.#heldTenants.pop() as string, false, now)
+    while ((this.#throttledTenants.peekKey() ?? Infinity) <= now) this.#queue.hold(this.#throttledTenants.pop() as string, false, now)
   }
 
-  /** Dispatches the first task of the lane; undefined when it cannot go now. */
-  #serve (lane: Lane, now: number): Assignment | undefined {
+  /** Dispatches the first task of the lane; returns undefined when no target can take it now. */
+  #dispatchFrom (lane: Lane, now: number): Assignment | undefined {
     const item = this.#queue.head(lane)
     if (item === undefined) return undefined
     const { tenant } = item.task
     if (!this.#quotas.mayStart(tenant, now)) {
-      this.#holdTenant(tenant, now)
+      this.#throttleTenant(tenant, now)
       return undefined
     }
-    const room = this.#queue.excess(tenant, now) > 0 ? EXCESS_ROOM_PART : 1
-    const target = this.#placement.place(item, room, now)
+    const creditFraction = this.#queue.excess(tenant, now) > 0 ? EXCESS_CREDIT_FRACTION : 1
+    const target = this.#placement.place(item, creditFraction, now)
     return target === undefined ? undefined : this.#dispatch(item, target, now)
   }
 
   #dispatch (item: QueuedTask, target: Target, now: number): Assignment {
     const { task, estimate, name } = item
-    this.#queue.take(item, this.#quotas.weight(task.tenant), now)
+    this.#queue.dequeue(item, this.#quotas.weight(task.tenant), now)
     this.#quotas.start(task.tenant, now)
-    this.#retries.noteDispatch()
+    this.#retries.recordDispatch()
     this.#outstanding.set(name, { item, task, target, estimate })
     target.noteDispatch(task.needs, estimate, now)
     this.#fleet.refresh(target, now)
     const byProvider = this.#dispatched[task.service] ??= {}
     const { provider } = target.description
     byProvider[provider] = (byProvider[provider] ?? 0) + 1
-    const patienceMilliseconds = this.#patienceAtAgent(item, now)
+    const patienceMilliseconds = this.#agentPatience(item, now)
     return { job: task.job, index: task.index, agent: target.agent, patienceMilliseconds }
   }
 
   /**
-   * Place of a task in its agent's queue. While other tenants are about, the age of a task counts
-   * for little, and a tenant that is ahead of its part of the slots stands back by its lead. A burst
-   * fills the agents' queues, and the next task of another tenant still goes before it.
+   * How long later tasks may overtake this one in its agent's queue, in milliseconds. While other tenants
+   * are active, the order by age and by length is bounded, and the excess of a tenant over its fair share
+   * is added. A burst fills the agents' queues, and the next task of another tenant is still placed ahead
+   * of it.
    */
-  #patienceAtAgent (item: QueuedTask, now: number): number {
+  #agentPatience (item: QueuedTask, now: number): number {
     const { tenant } = item.task
     const patience = item.key - now
-    const part = this.#presence.part(tenant, this.#quotas, now)
-    if (part === 1) return patience
-    return Math.max(-TENANT_ORDER_MILLISECONDS, Math.min(TENANT_ORDER_MILLISECONDS, patience)) + this.#queue.excess(tenant, now)
+    const fairShare = this.#tenantActivity.part(tenant, this.#quotas, now)
+    if (fairShare === 1) return patience
+    return Math.max(-MAX_TENANT_OVERTAKING_MILLISECONDS, Math.min(MAX_TENANT_OVERTAKING_MILLISECONDS, patience)) + this.#queue.excess(tenant, now)
   }
 
-  #learn (outstanding: OutstandingTask, outcome: TaskOutcome, run: number, now: number): void {
+  #recordRun (outstanding: OutstandingTask, outcome: TaskOutcome, run: number, now: number): void {
     const { task, target, estimate } = outstanding
     const succeeded = outcome === TaskOutcome.Succeeded
     const expected = this.#estimates.predict(task.tenant, task.service, task.runMilliseconds)
-    this.#fleet.noteOutcome(target, !succeeded, Math.max(1, run) / Math.max(1, expected), now)
+    this.#fleet.recordOutcome(target, !succeeded, Math.max(1, run) / Math.max(1, expected), now)
     if (!succeeded) return
     this.#estimates.learn(task.tenant, task.service, task.runMilliseconds, run)
     this.#queue.charge(task.tenant, run - estimate, this.#quotas.weight(task.tenant), now)
   }
 
-  #noteNotStarted (outstanding: OutstandingTask, name: string, now: number): void {
+  #recordNotStarted (outstanding: OutstandingTask, name: string, now: number): void {
     const { item, task, target, estimate } = outstanding
-    this.#retries.noteRefusal(name, { enqueuedAt: item.enqueuedAt, key: item.key })
+    this.#retries.recordRefusal(name, { enqueuedAt: item.enqueuedAt, key: item.key })
     this.#queue.charge(task.tenant, -estimate, this.#quotas.weight(task.tenant), now)
-    this.#fleet.noteRefusal(target, now)
+    this.#fleet.recordRefusal(target, now)
   }
 
-  #holdTenant (tenant: string, now: number): void {
+  #throttleTenant (tenant: string, now: number): void {
     this.#queue.hold(tenant, true, now)
-    this.#heldTenants.set(tenant, this.#quotas.nextStart(tenant, now) ?? Infinity)
+    this.#throttledTenants.set(tenant, this.#quotas.nextStart(tenant, now) ?? Infinity)
   }
 
-  #releaseTenant (tenant: string, now: number): void {
-    if (!this.#heldTenants.has(tenant)) return
+  #resumeTenant (tenant: string, now: number): void {
+    if (!this.#throttledTenants.has(tenant)) return
     if (!this.#quotas.mayStart(tenant, now)) {
-      // A slot is free and the rate is what holds it back now: nothing but time releases it, and
-      // when its last task has ended no event would come to look again.
-      this.#heldTenants.set(tenant, this.#quotas.nextStart(tenant, now) ?? Infinity)
+      // A slot is free and only the rate limit remains. Once the tenant's last task has ended, no event
+      // triggers another check, so the check is scheduled by time.
+      this.#throttledTenants.set(tenant, this.#quotas.nextStart(tenant, now) ?? Infinity)
       return
     }
-    this.#heldTenants.delete(tenant)
+    this.#throttledTenants.delete(tenant)
     this.#queue.hold(tenant, false, now)
   }
 
-  #releaseTenants (now: number): void {
-    for (const tenant of [...this.#heldTenants.values()]) {
-      this.#heldTenants.delete(tenant)
+  #resumeTenants (now: number): void {
+    for (const tenant of [...this.#throttledTenants.values()]) {
+      this.#throttledTenants.delete(tenant)
       this.#queue.hold(tenant, false, now)
     }
   }
 
-  /** Slots that this entry can count on: its part, or what it got lately when others used less. */
+  /**
+   * Slots that this entry can expect: an equal fraction of the usable ones, or what it used recently if
+   * that is more.
+   */
   #slots (usable: number, now: number): number {
     return Math.min(usable, Math.max(usable / this.#entries, this.#capacity.slots(now)))
   }
 
   /**
-   * Refuses what fits no target, live or known before. A service whose targets have not all
-   * announced themselves yet is refused with when to come back instead: nothing is proven.
+   * Refuses a job with a task that fits no target, whether connected or seen before. While a service has
+   * fewer targets than expected, the refusal is temporary and carries a retry time, because a missing
+   * target may fit.
    */
-  #refuseUnfit (tasks: readonly SchedulableTask[]): Admission | undefined {
-    const unfit = tasks.find((task, index) => !sameNeeds(task, tasks[index - 1]) && !this.#placement.couldRun(task))
-    if (unfit === undefined) return undefined
-    if (this.#placement.awaitsTargets(unfit.service, this.#configuration.providers)) {
+  #refuseUnrunnable (tasks: readonly SchedulableTask[]): Admission | undefined {
+    const unrunnable = tasks.find((task, index) => !sameNeeds(task, tasks[index - 1]) && !this.#placement.couldRun(task))
+    if (unrunnable === undefined) return undefined
+    if (this.#placement.lacksExpectedTargets(unrunnable.service, this.#configuration.providers)) {
       return refuse(Cause.NotReady, 'targets of the service have not announced themselves yet: come back later', retryAfter(1000))
     }
-    return refuse(Cause.NeverRunnable, `no target that serves ${unfit.service} could run task ${unfit.index}: ask for less, or have the operators add one`, 0)
+    return refuse(Cause.NeverRunnable, `no target that serves ${unrunnable.service} could run task ${unrunnable.index}: ask for less, or have the operators add one`, 0)
   }
 
-  #admitByTime (tasks: readonly SchedulableTask[], now: number): Admission {
+  #admitByDeadline (tasks: readonly SchedulableTask[], now: number): Admission {
     const { tenant, service, deadline } = tasks[0] as SchedulableTask
     const estimates = tasks.map(task => this.#estimates.predict(tenant, service, task.runMilliseconds))
     const work = estimates.reduce((sum, estimate) => sum + estimate, 0)
@@ -315,18 +323,18 @@
     const usable = this.#placement.usableSlots(service)
     const slots = this.#slots(usable, now)
     const mean = this.#estimates.mean(tenant, service)
-    const part = this.#presence.part(tenant, this.#quotas, now)
+    const fairShare = this.#tenantActivity.part(tenant, this.#quotas, now)
     const waitingAtAgents = Math.max(0, this.#outstanding.size - slots) * mean
-    const tenantAtAgents = Math.max(0, this.#quotas.held(tenant) - slots * part) * mean
+    const tenantAtAgents = Math.max(0, this.#quotas.held(tenant) - slots * fairShare) * mean
     return decideAdmission({
       remaining: deadline - now,
       work,
       longest,
       waitingWork: this.#queue.work + waitingAtAgents,
       tenantWork: this.#queue.workOf(tenant) + tenantAtAgents,
-      tenantPart: part,
+      tenantPart: fairShare,
       slots,
-      patience: orderPatience(Math.max(longest, work / Math.max(1, usable)), deadline - now),
+      patience: overtakingLimit(Math.max(longest, work / Math.max(1, usable)), deadline - now),
       meanPatience: this.#queue.meanPatience,
       quotaSlots: this.#quotas.slots(tenant),
       rateWait: this.#quotas.rateWait(tenant, tasks.length, now)
--- a/packages/coordination/src/scheduling.ts
+++ b/packages/coordination/src/scheduling.ts
@@ -1,40 +1,40 @@
 /**
- * What the entry asks of a scheduler: whether to take a job, and which task runs next, where. The
- * scheduler keeps the queue; the entry keeps the jobs, the claims and the answers.
+ * The interface between an entry and its scheduler: whether to accept a job, and which task runs next and
+ * where. The scheduler keeps the queue; the entry keeps the jobs, their claims and their answers.
  */
 import type { Configuration } from './configuration.ts'
 import type { Cause, Instance, JobKey, TargetDescription, TargetReport, TaskNeeds, TaskOutcome } from './messages.ts'
 
-/** A task as the scheduler needs to know it. */
+/** The properties of a task that scheduling depends on. */
 export interface SchedulableTask {
   job: JobKey
   index: number
   tenant: string
   service: string
   needs: TaskNeeds
-  /** Run time the caller declares, in milliseconds; 0 when none. */
+  /** Run time that the caller declares, in milliseconds; 0 when none. */
   runMilliseconds: number
-  /** Instant of the entry's clock by which the job must be answered. */
+  /** Instant, by the entry's clock, by which the job must be answered. */
   deadline: number
 }
 
-/** A task and the agent that has it. */
+/** A task and the agent to which it is dispatched. */
 export interface PlacedTask {
   job: JobKey
   index: number
   agent: Instance
 }
 
-/** A task to be dispatched now, and the agent it goes to. */
+/** A task to be dispatched now, its agent, and its position in the agent's queue. */
 export interface Assignment extends PlacedTask {
   /**
-   * How long other tasks may overtake this one at the agent, in milliseconds from now; negative when
-   * it has waited for longer than that already.
+   * How long later tasks may overtake this one in the agent's queue, in milliseconds from now; negative
+   * when it has already waited longer than that.
    */
   patienceMilliseconds: number
 }
 
-/** Whether a job is taken. */
+/** The decision on a job: admitted, or refused with the cause and the time after which to try again. */
 export type Admission =
   | { admitted: true }
   | { admitted: false, cause: Cause, detail: string, retryAfterMilliseconds: number, figures?: Readonly<Record<string, number>> }
@@ -51,25 +51,37 @@
   evacuated: number
 }
 
-/** Decides who runs next, where. Every instant is a reading of the clock of the caller. */
+/**
+ * Selects which task is dispatched next, and to which target. Every instant is a reading of the caller's
+ * clock.
+ */
 export interface Scheduler {
   configure: (configuration: Configuration, now: number) => void
   /** Number of entries that share the work, for quotas and credits. */
   setEntryCount: (entries: number, now: number) => void
   targetUp: (agent: Instance, target: TargetDescription, report: TargetReport, now: number) => void
   targetReport: (agent: Instance, report: TargetReport, now: number) => void
-  /** The link to the agent is gone: it gets no more work. Its outstanding tasks stay counted until `settled`. */
+  /**
+   * Handles the loss of the link to the agent, which gets no more work. Its outstanding tasks stay counted
+   * until `settled`.
+   */
   targetDown: (agent: Instance, now: number) => void
-  /** Asks for a whole job before it is enqueued. Changes nothing when it refuses. */
+  /** Decides on a whole job before it is enqueued. A refusal changes no state. */
   admit: (tasks: readonly SchedulableTask[], now: number) => Admission
   enqueue: (tasks: readonly SchedulableTask[], now: number) => void
-  /** Takes back tasks that are still queued here; the indexes removed are returned. */
+  /** Removes the tasks of a job that are still queued and returns their indexes. */
   remove: (job: JobKey) => number[]
   /** Tasks to dispatch now; each counts as outstanding at its agent until `settled`. */
   decide: (now: number) => Assignment[]
-  /** An outstanding task is no longer at its agent. Not-started tasks may be enqueued again by the entry. */
+  /**
+   * Records that an outstanding task is no longer at its agent. The entry may enqueue tasks again that were
+   * not started.
+   */
   settled: (placed: PlacedTask, outcome: TaskOutcome, runMilliseconds: number, now: number) => void
-  /** Until when `decide` can change nothing by itself; undefined when only an event can. */
+  /**
+   * Instant at which `decide` should be called next even without an event; undefined when only an event can
+   * change its result.
+   */
   nextDecision: (now: number) => number | undefined
   status: () => SchedulerStatus
 }
--- a/packages/coordination/src/shares.ts
+++ b/packages/coordination/src/shares.ts
@@ -1,29 +1,29 @@
 /**
- * Which provider receives the next task of a service.
+ * Selects the provider of the next task of a service.
  *
- * Each entry walks its own low-discrepancy sequence: every task adds its share to each provider's
- * balance and the provider with the highest balance pays one. After any number of tasks each
- * provider is within one task of its share, so that a window over a few entries is within a few
- * tasks, with no message between them. Entries start at different offsets, so that they do not all
- * turn to the same provider at the same time.
+ * Each entry follows its own low-discrepancy sequence: every task adds its share to each provider's
+ * balance, and the provider with the highest balance gets the task and pays 1. After any number of tasks
+ * each provider is within one task of its share, so a window over a few entries is within a few tasks,
+ * without messages between them. Entries start at different offsets, so that they do not all select the
+ * same provider at the same time.
  *
- * What wins when a provider cannot take its turn:
- * - It is leaving, draining, gone, or all its targets are ejected: the others take its share in
- *   proportion to theirs, at once. Nothing is owed to it when it returns.
- * - It is full: the share wins and the task waits, for a quarter of the time between its coming and
- *   its deadline. Then the deadline wins and the task goes to another provider of the service that
- *   has room. What is owed is paid back, up to two tasks: a provider that was full for long gets no
- *   storm afterwards.
- * - A provider without a share of the service gets none of it, whatever happens.
+ * When the selected provider cannot take the task:
+ * - If it is leaving, draining or disconnected, or all its targets are ejected, the others take its share
+ *   in proportion to theirs, at once. Its balance does not grow in that time, so it gets no extra tasks
+ *   when it returns.
+ * - If it is full, the task waits for it, for a quarter of the time between its arrival and its deadline.
+ *   After that the task goes to another provider of the service with free capacity. The missed tasks are
+ *   made up for, up to two of them, so that a provider that was full for long gets no burst.
+ * - A provider without a share of the service never gets any of its tasks.
  */
-import { SHARE_DEBT_LIMIT } from './schedulingdefaults.ts'
+import { MAX_SHARE_BALANCE } from './schedulingdefaults.ts'
 
-/** The turns of the providers of one service, at one entry. */
+/** The sequence of providers of one service, at one entry. */
 export class ShareSequence {
   readonly #shares: ReadonlyMap<string, number>
   readonly #balances = new Map<string, number>()
 
-  /** `offset` in [0, 1) sets where in the sequence this entry begins. */
+  /** `offset` in [0, 1) is the position in the sequence at which this entry starts. */
   constructor (shares: Readonly<Record<string, number>>, offset: number) {
     this.#shares = new Map(Object.entries(shares).filter(([, share]) => share > 0))
     let sum = 0
@@ -40,8 +40,8 @@
   }
 
   /**
-   * The provider whose turn it is among `candidates`, while `present` are the providers that take
-   * part; undefined when no candidate has a share.
+   * The provider to select among `candidates`, where `present` are the providers that can currently take
+   * tasks; undefined when no candidate has a share.
    */
   next (candidates: readonly string[], present: readonly string[]): string | undefined {
     const sum = this.#sum(present)
@@ -58,21 +58,24 @@
     return best
   }
 
-  /** A task went to `provider` while `present` were the providers that could take part. */
-  take (provider: string, present: readonly string[]): void {
+  /**
+   * Updates the balances after a task went to `provider`, where `present` are the providers that can
+   * currently take tasks.
+   */
+  recordDispatch (provider: string, present: readonly string[]): void {
     const sum = this.#sum(present)
     if (sum === 0) return
     for (const other of present) {
       const share = this.#shares.get(other)
       if (share === undefined) continue
-      const paid = other === provider ? 1 : 0
-      const balance = (this.#balances.get(other) as number) + share / sum - paid
-      this.#balances.set(other, Math.max(-SHARE_DEBT_LIMIT, Math.min(SHARE_DEBT_LIMIT, balance)))
+      const spent = other === provider ? 1 : 0
+      const balance = (this.#balances.get(other) as number) + share / sum - spent
+      this.#balances.set(other, Math.max(-MAX_SHARE_BALANCE, Math.min(MAX_SHARE_BALANCE, balance)))
     }
   }
 
-  /** Forgets what is owed to or by a provider that has left or returned. */
-  forgive (provider: string): void {
+  /** Clears the balance of a provider that has left or returned. */
+  resetBalance (provider: string): void {
     if (this.#balances.has(provider)) this.#balances.set(provider, 0)
   }
 
--- a/packages/coordination/src/slots.ts
+++ b/packages/coordination/src/slots.ts
@@ -1,33 +1,33 @@
 /**
- * The slots of one target as its agent holds them: which task may start, which waits in the local
- * queue, and how many unfinished tasks each entry may have here.
+ * The slots of one target, managed by its agent: which task may start, which waits in the local queue, and
+ * how many unfinished tasks each entry may have here.
  *
- * The queue is ordered by the place that each entry gave its tasks, so that all entries together
- * have one order at each target without a message between them: a short job that comes late at
- * one entry goes before the long one that another entry sent earlier. Credits overlap on purpose:
- * an entry may use what the others have not used lately, so that one large job finds all slots when
- * the rest of the fleet is quiet. What finds the queue full is refused as not started.
+ * The queue is ordered by the position that each entry assigned to its tasks, so all entries share one
+ * order at each target without exchanging messages: a short job that arrives late at one entry goes before
+ * a long one that another entry sent earlier. Credits overlap on purpose: an entry may use what the others
+ * have not used recently, so that one large job can use all slots while the rest of the fleet is idle. A
+ * task that finds the queue full is refused as not started.
  */
 import type { Instance, TaskNeeds } from './messages.ts'
-import { CREDIT_PER_SLOT, DEMAND_RATE, REPORT_HYSTERESIS, REPORTS_PER_OFFER, REPORTS_SAVED } from './schedulingdefaults.ts'
+import { CREDIT_PER_SLOT, DEMAND_SMOOTHING, REPORT_HYSTERESIS, REPORTS_PER_OFFER, MAX_SAVED_REPORTS } from './schedulingdefaults.ts'
 
-/** A task as the slots need to know it. */
+/** The properties of a task that decide when it may start. */
 export interface SlotTask {
-  /** Number of the task at its agent. */
+  /** Number of the task, unique at its agent. */
   id: number
   entry: Instance
   needs: TaskNeeds
   /** Declared run time in milliseconds; 0 when none. */
   runMilliseconds: number
   /**
-   * How long other tasks may overtake this one, in milliseconds from now; negative when it has
-   * waited for longer than that already.
+   * How long later tasks may overtake this one, in milliseconds from now; negative when it has already
+   * waited longer than that.
    * @default 0
    */
   patienceMilliseconds?: number
 }
 
-/** What the slots can carry. */
+/** Capacity of the target and of its queue. */
 export interface SlotsOptions {
   slots: number
   accelerators: number
@@ -36,7 +36,7 @@
   queueLimit: number
 }
 
-/** Load as one entry is told it. */
+/** Load as reported to one entry. */
 export interface SlotsLoad {
   running: number
   queued: number
@@ -45,7 +45,7 @@
 
 interface WaitingTask {
   task: SlotTask
-  /** Instant that orders the queue: lowest first. */
+  /** Instant that orders the queue, lowest first. */
   key: number
 }
 
@@ -53,22 +53,22 @@
   running: number
   /** Tasks of the entry that wait here. */
   waiting: number
-  /** Average of its unfinished tasks here. */
+  /** Moving average of its unfinished tasks here. */
   demand: number
-  /** Credit that the entry was told last; undefined before the first report. */
+  /** Credit reported to the entry last; undefined before the first report. */
   reported: number | undefined
 }
 
 /**
- * Where a slot is free and tasks wait, they wait for accelerators or memory: a task that needs
- * neither takes nothing from them. One that does need them stands behind, or a large task would
- * wait for ever while small ones pass it.
+ * Whether a task may bypass the queue when a slot is free. Tasks that wait beside a free slot wait for
+ * accelerators or memory, and a task that needs neither takes nothing from them. A task that does need them
+ * is queued, because otherwise a large task could starve behind small ones.
  */
-function needsNothing (needs: TaskNeeds): boolean {
+function hasNoNeeds (needs: TaskNeeds): boolean {
   return needs.accelerators === 0 && needs.memoryMegabytes === 0
 }
 
-/** Holds a target's slots. */
+/** Assigns the slots of one target. */
 export class Slots {
   readonly #options: SlotsOptions
   readonly #accounts = new Map<Instance, EntryAccount>()
@@ -77,13 +77,13 @@
   #entries: readonly Instance[] = []
   #acceleratorsUsed = 0
   #memoryUsed = 0
-  #reportsLeft = REPORTS_SAVED
+  #reportsLeft = MAX_SAVED_REPORTS
 
   constructor (options: SlotsOptions) {
     this.#options = options
   }
 
-  /** The entries of the current view: the credits are divided among these. */
+  /** Sets the entries of the current view, which share the credits. */
   setEntries (entries: readonly Instance[]): void {
     this.#entries = [...entries]
     for (const [entry, account] of this.#accounts) {
@@ -94,22 +94,22 @@
   }
 
   /**
-   * Takes a task: `full` means that it was not taken and must be refused as not started. `now` is
-   * a reading of the agent's clock in milliseconds.
+   * Offers a task: `start` means that it runs now, `queue` that it waits, and `full` that it must be
+   * refused as not started. `now` is a reading of the agent's clock in milliseconds.
    */
   offer (task: SlotTask, now = 0): 'start' | 'queue' | 'full' {
-    this.#noteOffer(task.entry)
-    if (this.#fits(task) && (this.#waiting.size === 0 || needsNothing(task.needs))) {
+    this.#recordOffer(task.entry)
+    if (this.#fits(task) && (this.#waiting.size === 0 || hasNoNeeds(task.needs))) {
       this.#start(task)
       return 'start'
     }
-    if (this.#waiting.size >= this.#options.queueLimit && this.#held(task.entry) >= this.#floor()) return 'full'
+    if (this.#waiting.size >= this.#options.queueLimit && this.#held(task.entry) >= this.#minimumCredit()) return 'full'
     this.#waiting.set(task.id, { task, key: now + (task.patienceMilliseconds ?? 0) })
     this.#account(task.entry).waiting += 1
     return 'queue'
   }
 
-  /** A started task has ended. Returns the ids of waiting tasks that may start now. */
+  /** Frees the slot of a task that has ended. Returns the ids of the waiting tasks that may start now. */
   release (id: number): number[] {
     const task = this.#running.get(id)
     if (task === undefined) return []
@@ -120,8 +120,8 @@
     return this.#startWaiting()
   }
 
-  /** Takes back a task that still waits; false when it does not wait here. */
-  withdraw (id: number): boolean {
+  /** Removes a waiting task; returns false when it does not wait here. */
+  cancelWaiting (id: number): boolean {
     const waiting = this.#waiting.get(id)
     if (waiting === undefined) return false
     this.#waiting.delete(id)
@@ -136,11 +136,11 @@
   }
 
   /**
-   * Entries whose credit has changed by so much since they were last told that a message is worth
-   * it. The number of reports is bounded by the number of tasks offered, so that reports stay a
-   * small part of the messages at any load.
+   * Returns the entries whose credit has changed enough since their last report to justify a message. The
+   * number of reports is bounded by the number of tasks offered, so reports stay a small fraction of the
+   * messages at any load.
    */
-  changedReports (): Instance[] {
+  entriesToReport (): Instance[] {
     const changed: Instance[] = []
     const threshold = Math.max(1, this.#options.slots * REPORT_HYSTERESIS)
     for (const entry of this.#entries) {
@@ -160,14 +160,14 @@
     while (this.#running.size < this.#options.slots) {
       const task = this.#nextWaiting()
       if (task === undefined) return started
-      this.withdraw(task.id)
+      this.cancelWaiting(task.id)
       this.#start(task)
       started.push(task.id)
     }
     return started
   }
 
-  /** The first in order that fits, and the oldest of those with the same place. */
+  /** The first waiting task in order that fits; the oldest among those with the same position. */
   #nextWaiting (): SlotTask | undefined {
     let best: WaitingTask | undefined
     for (const waiting of this.#waiting.values()) {
@@ -191,7 +191,10 @@
     return task.needs.memoryMegabytes === 0 || this.#memoryUsed + task.needs.memoryMegabytes <= memoryMegabytes
   }
 
-  /** What the other entries have not used lately, and never less than an equal part. */
+  /**
+   * Slots and queue places that the other entries have not used recently, but never less than an equal
+   * fraction.
+   */
   #credit (entry: Instance): number {
     const { slots, queueLimit } = this.#options
     let others = 0
@@ -199,15 +202,15 @@
       if (other !== entry) others += account.demand
     }
     const unused = Math.floor(slots + queueLimit - others)
-    return Math.max(this.#floor(), Math.min(CREDIT_PER_SLOT * slots, unused))
+    return Math.max(this.#minimumCredit(), Math.min(CREDIT_PER_SLOT * slots, unused))
   }
 
   /**
-   * What every entry may have here at any time. It is taken even when the queue is full, so that
-   * an entry that came first cannot keep the others out; the queue is bounded all the same, by
+   * Number of unfinished tasks that every entry may have here at any time. It is granted even when the
+   * queue is full, so that an entry that came first cannot exclude the others. The queue stays bounded by
    * twice its limit.
    */
-  #floor (): number {
+  #minimumCredit (): number {
     const { slots, queueLimit } = this.#options
     return Math.max(1, Math.floor((slots + queueLimit) / Math.max(1, this.#entries.length)))
   }
@@ -217,12 +220,12 @@
     return account.running + account.waiting
   }
 
-  #noteOffer (entry: Instance): void {
-    this.#reportsLeft = Math.min(REPORTS_SAVED, this.#reportsLeft + REPORTS_PER_OFFER)
+  #recordOffer (entry: Instance): void {
+    this.#reportsLeft = Math.min(MAX_SAVED_REPORTS, this.#reportsLeft + REPORTS_PER_OFFER)
     this.#account(entry)
     for (const account of this.#accounts.values()) {
       const held = account.running + account.waiting
-      account.demand += (held - account.demand) * DEMAND_RATE
+      account.demand += (held - account.demand) * DEMAND_SMOOTHING
     }
   }
 
--- a/packages/coordination/src/taking.ts
+++ b/packages/coordination/src/taking.ts
@@ -9,7 +9,7 @@
 import type { Instance, Job, JobKey } from './messages.ts'
 import type { Receipts } from './receipts.ts'
 import type { Takeover } from './takeover.ts'
-import { answerWithout } from './execution.ts'
+import { answerWithoutResults } from './execution.ts'
 import { AnswerKind, Cause } from './messages.ts'
 import { unreached } from './unproved.ts'
 
@@ -69,7 +69,7 @@
 
   /** A job that a caller of this entry, or another entry for one of its own, submits. */
   take (job: Job, from: Attachment, now: number): void {
-    const refusal = this.#jobs.earlierRefusal(from)
+    const refusal = this.#jobs.previousRefusal(from)
     if (refusal !== undefined) {
       this.#reply(from, job.key, refusal, now)
       return
@@ -122,10 +122,10 @@
     const forgotten = this.#beforeHorizon(job)
     if (forgotten && !job.repeatable) {
       const detail = 'the job was lodged before the memory of the system begins: it may have run'
-      this.#reply(from, job.key, answerWithout(AnswerKind.MayHaveRun, Cause.BeforeHorizon, detail), now)
+      this.#reply(from, job.key, answerWithoutResults(AnswerKind.MayHaveRun, Cause.BeforeHorizon, detail), now)
       return
     }
-    if (this.#settling(now) && !this.#jobs.admits(job, now)) {
+    if (this.#settling(now) && !this.#jobs.wouldAdmit(job, now)) {
       this.#park(job, from, now)
       return
     }
--- a/packages/coordination/src/target.ts
+++ b/packages/coordination/src/target.ts
@@ -1,7 +1,7 @@
 /** One target as one entry knows it: what it reported, what is outstanding there, and how far it is trusted. */
 import type { Instance, TargetDescription, TargetReport, TaskNeeds } from './messages.ts'
 import { TargetHealth, Trust } from './health.ts'
-import { FULL_MILLISECONDS, HANG_MILLISECONDS, HANG_RUNS, REPORT_HALF_LIFE_MILLISECONDS, SLOWNESS_REVIEW_MILLISECONDS } from './schedulingdefaults.ts'
+import { FULL_TARGET_MILLISECONDS, HANG_MILLISECONDS, HANG_RUN_TIMES, REPORT_HALF_LIFE_MILLISECONDS, SLOWNESS_REVIEW_MILLISECONDS } from './schedulingdefaults.ts'
 
 /** One target, reached through one run of its agent. */
 export class Target {
@@ -48,7 +48,7 @@
 
   /** It refused a task for want of room: it gets no more than it holds for a while, or until it reports. */
   noteFull (now: number): void {
-    this.#fullUntil = now + FULL_MILLISECONDS
+    this.#fullUntil = now + FULL_TARGET_MILLISECONDS
     this.#heldWhenFull = this.outstanding
   }
 
@@ -122,6 +122,6 @@
   }
 
   #silentAt (): number {
-    return this.#activeAt + Math.max(HANG_MILLISECONDS, HANG_RUNS * this.#work / Math.max(1, this.outstanding))
+    return this.#activeAt + Math.max(HANG_MILLISECONDS, HANG_RUN_TIMES * this.#work / Math.max(1, this.outstanding))
   }
 }
--- a/packages/coordination/src/unproved.ts
+++ b/packages/coordination/src/unproved.ts
@@ -1,7 +1,7 @@
 /** Answers that say "may have run" where "not run" would be a guess. */
 import type { Answer } from './messages.ts'
 import { NOT_READY_RETRY_MILLISECONDS } from './defaults.ts'
-import { answerWithout } from './execution.ts'
+import { answerWithoutResults } from './execution.ts'
 import { AnswerKind, Cause } from './messages.ts'
 
 /** Whether the answer says that no submission of the job has run, which takes a proof. */
@@ -20,5 +20,5 @@
  */
 export function unreached (): Answer {
   const detail = 'the entry that owns this job id could not be reached: submit the same job id again later'
-  return answerWithout(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, detail, NOT_READY_RETRY_MILLISECONDS)
+  return answerWithoutResults(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, detail, NOT_READY_RETRY_MILLISECONDS)
 }
--- a/packages/coordination/test/health.test.ts
+++ b/packages/coordination/test/health.test.ts
@@ -11,7 +11,7 @@
 
 function fail (fleet: FleetHealth, target: TargetHealth, now: number): void {
   fleet.remove(target)
-  target.noteFailure()
+  target.recordFailure()
   fleet.add(target)
   if (!fleet.shouldEject(target)) return
   fleet.remove(target)
@@ -19,9 +19,9 @@
   fleet.add(target)
 }
 
-// A target whose disk is full answers each task with an error within milliseconds. It is always
-// idle, so that every scheduler that looks at load first sends it the work of the whole fleet.
-test('a target that fails all it starts is out after three failures', () => {
+// A target with a full disk fails each task within milliseconds. It is always idle, so a scheduler that
+// considers load first would send it the work of the whole fleet.
+test('a target that fails every task is ejected after three failures', () => {
   const { fleet, targets } = fleetOf(11)
   const bad = targets[0] as TargetHealth
   fail(fleet, bad, 0)
@@ -32,7 +32,7 @@
   expect(bad.limit()).toEqual(0)
 })
 
-test('nothing is ejected when every target fails alike', () => {
+test('no target is ejected when all fail alike', () => {
   const { fleet, targets } = fleetOf(11)
   for (let round = 0; round < 20; round += 1) {
     for (const target of targets) fail(fleet, target, 0)
@@ -50,7 +50,7 @@
   })
 }
 
-test('a failed probe puts the target out for twice as long, up to eight seconds', () => {
+test('a failed probe doubles the ejection time, up to eight seconds', () => {
   const { fleet, targets } = fleetOf(11)
   const bad = targets[0] as TargetHealth
   for (let round = 0; round < 3; round += 1) fail(fleet, bad, 0)
@@ -67,33 +67,33 @@
   expect(lengths).toEqual([2000, 4000, 8000, 8000])
 })
 
-test('a probed target gets twice as much with each success', () => {
+test('the limit of a probed target doubles with each success', () => {
   const health = new TargetHealth(8)
   health.eject(0)
   health.probe()
   const limits = [1, 2, 3].map(() => {
     const limit = health.limit()
-    health.noteSuccess(1, 0)
+    health.recordSuccess(1, 0)
     return limit
   })
   expect(limits).toEqual([1, 2, 4])
   expect(health.trust).toEqual(Trust.Full)
 })
 
-test('a slow target is noticed, and tried again when time has passed', () => {
+test('a slow target is detected, and tried again after some time', () => {
   const health = new TargetHealth(8)
-  for (let round = 0; round < 60; round += 1) health.noteSuccess(4, 0)
+  for (let round = 0; round < 60; round += 1) health.recordSuccess(4, 0)
   expect(health.slowness(0) > 3).toEqual(true)
   expect(health.slowness(300_000)).toEqual(1)
 })
 
-// An agent's link goes and comes back every second. Each time it is up the target looks idle and
-// gets work, and each time it is down that work is lost or late.
-test('a target that keeps coming back is kept out for a while', () => {
+// The link of an agent fails and returns every second. The target looks idle whenever it is connected and
+// gets work, which is lost or late each time the link fails.
+test('a target that reconnects repeatedly is ejected for a while', () => {
   const health = new TargetHealth(8)
-  for (const now of [0, 1000, 2000]) health.noteReturn(now)
+  for (const now of [0, 1000, 2000]) health.recordReturn(now)
   expect(health.trust).toEqual(Trust.Probing)
-  health.noteReturn(3000)
-  health.noteReturn(4000)
+  health.recordReturn(3000)
+  health.recordReturn(4000)
   expect(health.trust).toEqual(Trust.Ejected)
 })
--- a/packages/coordination/test/quotas.test.ts
+++ b/packages/coordination/test/quotas.test.ts
@@ -20,23 +20,23 @@
   return started
 }
 
-test('a tenant without quota is not limited', () => {
+test('a tenant without a quota is not limited', () => {
   expect(startsWithin(quotas({}), 0, 1)).toEqual(100_000)
 })
 
-test('the rate holds over ten seconds after the burst', () => {
+test('the rate is kept over ten seconds after the burst', () => {
   const made = quotas({ tasksPerSecond: 50, burst: 20 })
   const started = startsWithin(made, 0, 10_000)
   expect(started >= 518 && started <= 521).toEqual(true)
 })
 
-test('entries together start what one would', () => {
+test('several entries together start as many tasks as one entry would', () => {
   const started = [0, 1, 2].map(() => startsWithin(quotas({ tasksPerSecond: 60, burst: 30 }, 3), 0, 10_000))
   const sum = started.reduce((one, other) => one + other, 0)
   expect(sum >= 620 && sum <= 633).toEqual(true)
 })
 
-test('slots are returned by the end of a task', () => {
+test('the end of a task frees its slot', () => {
   const made = quotas({ slots: 2 })
   made.start('team', 0)
   made.start('team', 0)
@@ -45,7 +45,7 @@
   expect(made.mayStart('team', 1)).toEqual(true)
 })
 
-test('each entry has at least one slot of a small quota', () => {
+test('each entry gets at least one slot of a small quota', () => {
   expect(quotas({ slots: 2 }, 5).slots('team')).toEqual(1)
 })
 
@@ -56,7 +56,7 @@
   expect(made.mayStart('team', 0)).toEqual(true)
 })
 
-test('says when the rate allows the next task, and nothing while the slots are taken', () => {
+test('nextStart is the time at which the rate allows the next task, and undefined while all slots are taken', () => {
   const byRate = quotas({ tasksPerSecond: 10, burst: 1 })
   byRate.start('team', 0)
   expect(byRate.nextStart('team', 0)).toEqual(100)
--- a/packages/coordination/test/scheduler.test.ts
+++ b/packages/coordination/test/scheduler.test.ts
@@ -16,7 +16,7 @@
   draining: { targets: [], racks: [], dataCentres: [], providers: [] }
 }
 
-/** Pseudo-random numbers that are the same in each run. */
+/** Deterministic pseudo-random numbers. */
 function sequence (): () => number {
   let state = 1
   return () => {
@@ -70,7 +70,7 @@
   for (const assignment of assignments) scheduler.settled(assignment, TaskOutcome.Succeeded, 100, now)
 }
 
-/** Brings every target to full trust. */
+/** Runs tasks until every target has reached full trust. */
 function warmUp (scheduler: TaskScheduler): void {
   for (let round = 0; round < 40; round += 1) {
     scheduler.enqueue(tasks(`warm-${round}`, 8), 0)
@@ -79,7 +79,7 @@
 }
 
 for (const policy of Object.values(PolicyName)) {
-  test(`${policy} dispatches each task once and shares by provider`, () => {
+  test(`${policy} dispatches each task once and keeps the provider shares`, () => {
     const scheduler = schedulerWith(['a1', 'a2', 'b1', 'b2'].map(target => describe(target)), { policy })
     warmUp(scheduler)
     scheduler.enqueue(tasks('job', 20), 0)
@@ -90,7 +90,7 @@
   })
 }
 
-test('spreads evenly over the targets of a provider', () => {
+test('spreads tasks evenly over the targets of a provider', () => {
   const scheduler = schedulerWith(['a1', 'a2', 'a3'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.enqueue(tasks('job', 12, { service: 'record' }), 0)
@@ -98,16 +98,16 @@
   expect(['a1#1', 'a2#1', 'a3#1'].map(agent => agents.filter(other => other === agent).length)).toEqual([4, 4, 4])
 })
 
-const gone = [
+const unavailable = [
   { how: 'its agent is cut off', make: (scheduler: TaskScheduler) => scheduler.targetDown('b1#1', 1) },
-  { how: 'it says that it is leaving', make: (scheduler: TaskScheduler) => scheduler.targetReport('b1#1', { ...report(), leaving: true }, 1) },
+  { how: 'its target reports that it is leaving', make: (scheduler: TaskScheduler) => scheduler.targetReport('b1#1', { ...report(), leaving: true }, 1) },
   { how: 'its target is drained', make: (scheduler: TaskScheduler) => scheduler.configure({ ...configuration, draining: { targets: ['b1'], racks: [], dataCentres: [], providers: [] } }, 1) },
   { how: 'its rack is drained', make: (scheduler: TaskScheduler) => scheduler.configure({ ...configuration, draining: { targets: [], racks: ['rack-b1'], dataCentres: [], providers: [] } }, 1) },
   { how: 'its data centre is evacuated', make: (scheduler: TaskScheduler) => scheduler.configure({ ...configuration, draining: { targets: [], racks: [], dataCentres: ['centre-b'], providers: [] } }, 1) },
   { how: 'its provider is drained', make: (scheduler: TaskScheduler) => scheduler.configure({ ...configuration, draining: { targets: [], racks: [], dataCentres: [], providers: ['b'] } }, 1) }
 ]
-for (const { how, make } of gone) {
-  test(`a provider gets nothing and the other takes its share at once when ${how}`, () => {
+for (const { how, make } of unavailable) {
+  test(`a provider gets no tasks and the other takes its share at once when ${how}`, () => {
     const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target, { dataCentre: `centre-${target[0]}` })))
     warmUp(scheduler)
     make(scheduler)
@@ -117,9 +117,9 @@
   })
 }
 
-// The provider whose turn it is has no room. Its share is what the operators asked for, so the task
-// waits for it; when a quarter of its time has gone, the deadline counts for more.
-test('a task waits for a full provider, and goes to the other when a quarter of its time has gone', () => {
+// The provider selected by the shares has no free capacity. The task waits for it, because operators
+// configured the share, until a quarter of its time has passed; then meeting the deadline takes precedence.
+test('a task waits for a full provider, and goes to the other after a quarter of its time', () => {
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)), { credit: 4 })
   warmUp(scheduler)
   scheduler.targetReport('b1#1', report(1), 0)
@@ -130,7 +130,7 @@
   expect(scheduler.decide(1000).map(assignment => assignment.agent)).toEqual(Array.from({ length: 5 - before }, () => 'a1#1'))
 })
 
-test('changed shares hold for the next task', () => {
+test('changed shares apply to the next task', () => {
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.configure({ ...configuration, version: 2, services: { check: { shares: { b: 100 } } } }, 1)
@@ -147,8 +147,8 @@
   expect((first?.patienceMilliseconds as number) < (second?.patienceMilliseconds as number)).toEqual(true)
 })
 
-// Short jobs arrive without end. A long one must not stand behind every one of them.
-test('a long job overtakes short ones that come much later', () => {
+// Short jobs arrive continuously. A long job must not wait behind all of them.
+test('a long job is placed before short ones that arrive much later', () => {
   const scheduler = schedulerWith([describe('a1')], { credit: 1 })
   scheduler.enqueue(tasks('long', 1, { runMilliseconds: 1000, deadline: 1e6 }), 0)
   for (let number = 0; number < 60; number += 1) {
@@ -164,9 +164,9 @@
   expect(place > 20 && place < 55).toEqual(true)
 })
 
-// One team sends ten thousand tasks in one second; the next task of another team must not stand
-// behind them, neither here nor at the agents.
-test('the task of a quiet tenant goes before the burst of another', () => {
+// One tenant submits ten thousand tasks in one second. The next task of another tenant must not wait behind
+// them, neither in the entry's queue nor at the agents.
+test('a task of a tenant with little load is placed before the burst of another tenant', () => {
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.enqueue(tasks('quiet-before', 1, { tenant: 'other', job: 'other/before' }), 0)
@@ -179,7 +179,7 @@
   expect((next?.patienceMilliseconds as number) < last.patienceMilliseconds).toEqual(true)
 })
 
-test('slot quotas hold, and the next task goes when one ends', () => {
+test('slot quotas are kept, and the next task is dispatched when one ends', () => {
   const limited = { ...configuration, tenants: { team: { ...unlimited, slots: 3 } } }
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)), { configuration: limited })
   scheduler.enqueue(tasks('job', 10), 0)
@@ -189,7 +189,7 @@
   expect(scheduler.decide(5).length).toEqual(1)
 })
 
-test('a rate quota says when the next task may go', () => {
+test('with a rate quota, nextDecision is the time at which the next task may start', () => {
   const limited = { ...configuration, tenants: { team: { ...unlimited, tasksPerSecond: 10, burst: 2 } } }
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)), { configuration: limited })
   scheduler.enqueue(tasks('job', 10), 0)
@@ -198,11 +198,11 @@
   expect(scheduler.decide(100).length).toEqual(1)
 })
 
-const never = [
+const unrunnable = [
   { what: 'more memory than any target has', needs: { accelerators: 0, memoryMegabytes: 5000 } },
   { what: 'an accelerator where there is none', needs: { accelerators: 1, memoryMegabytes: 0 } }
 ]
-for (const { what, needs } of never) {
+for (const { what, needs } of unrunnable) {
   test(`a job that asks for ${what} is never runnable`, () => {
     const scheduler = schedulerWith([describe('a1')])
     const admission = scheduler.admit(tasks('job', 1, { needs }), 0)
@@ -210,20 +210,20 @@
   })
 }
 
-test('a job that fits only a target known before is not called never runnable', () => {
+test('a job that fits only a disconnected target is not refused as never runnable', () => {
   const scheduler = schedulerWith([describe('a1'), describe('a2', { accelerators: 2 })])
   scheduler.targetDown('a2#1', 1)
   const admission = scheduler.admit(tasks('job', 1, { needs: { accelerators: 1, memoryMegabytes: 0 } }), 2)
   expect(!admission.admitted && admission.cause === Cause.NeverRunnable).toEqual(false)
 })
 
-test('before the expected targets have announced themselves a job is told to come back', () => {
+test('a job is refused with a retry time while expected targets have not connected', () => {
   const scheduler = schedulerWith([], { configuration: { ...configuration, providers: { a: { expectedTargets: 2 } } } })
   const admission = scheduler.admit(tasks('job', 1), 0)
   expect(!admission.admitted && admission.cause === Cause.NotReady && admission.retryAfterMilliseconds > 0).toEqual(true)
 })
 
-test('unknown services and tenants are refused by name', () => {
+test('unknown services and unknown tenants are refused with separate causes', () => {
   const scheduler = schedulerWith([describe('a1')])
   const causes = [{ service: 'none' }, { tenant: 'none' }].map(more => {
     const admission = scheduler.admit(tasks('job', 1, more), 0)
@@ -232,8 +232,8 @@
   expect(causes).toEqual([Cause.UnknownService, Cause.UnknownTenant])
 })
 
-// A target hangs while its agent's stream is up: no answer comes, so that no failure is counted.
-test('a busy target that gives no sign of life gets nothing more until it does', () => {
+// A target hangs while the link to its agent is up: no result arrives, so no failure is counted.
+test('a busy target that does not respond gets no more tasks until it responds', () => {
   const scheduler = schedulerWith([describe('a1'), describe('a2')])
   warmUp(scheduler)
   scheduler.enqueue(tasks('job', 4, { service: 'record' }), 0)
@@ -246,7 +246,7 @@
   expect(scheduler.decide(5001).some(assignment => assignment.agent === 'a1#1')).toEqual(true)
 })
 
-test('a refused task goes again, and its target gets no more than it holds for a while', () => {
+test('a refused task is dispatched again, but not to the target that refused it', () => {
   const scheduler = schedulerWith([describe('a1'), describe('a2')])
   warmUp(scheduler)
   const [job] = [tasks('job', 1, { service: 'record' })]
@@ -258,9 +258,9 @@
   expect(again.agent).not.toEqual(refused.agent)
 })
 
-// Every agent refuses at once. Without a budget each refusal would be followed by a new dispatch one
-// round trip later, from every entry, for as long as the fleet is full.
-test('repetitions beyond the budget are put off ever longer', () => {
+// Every agent refuses at once. Without a retry budget each refusal would cause a new dispatch one round
+// trip later, from every entry, for as long as the fleet is full.
+test('retries beyond the budget are delayed increasingly', () => {
   const scheduler = schedulerWith([describe('a1', { slots: 1000 })], { credit: 1000 })
   const job = tasks('job', 60, { service: 'record' })
   let dispatched = 0
@@ -277,7 +277,7 @@
   expect(dispatched > 100 && dispatched < 1200).toEqual(true)
 })
 
-test('a wave of cancellations takes back exactly what is still queued', () => {
+test('mass cancellation removes exactly the tasks that are still queued', () => {
   const scheduler = schedulerWith([describe('a1'), describe('b1')], { credit: 4 })
   for (let job = 0; job < 100; job += 1) scheduler.enqueue(tasks(`job-${job}`, 100), 0)
   const dispatched = scheduler.decide(0).length
@@ -298,10 +298,10 @@
   expect(scheduler.status().outstanding).toEqual(0)
 })
 
-// The only target of one provider resets every connection, or its agent is cut off: each task comes
-// back at once as not started. It was taken for a full target, whose share the others wait for, and
-// callers saw a quarter of their deadline pass, again and again, with idle targets beside.
-test('a target that refuses while it has room is out at once, and nothing waits for its share', () => {
+// The only target of one provider resets every connection, or its agent is cut off, so each task returns at
+// once as not started. If the target counted as full, tasks would wait for the provider's share: callers
+// would lose a quarter of their deadline, repeatedly, beside idle targets.
+test('a target that refuses despite free capacity is ejected at once, and no task waits for its share', () => {
   const scheduler = schedulerWith(['a1', 'a2', 'b1'].map(target => describe(target)))
   const job = tasks('job', 18)
   scheduler.enqueue(job, 0)
@@ -317,7 +317,7 @@
   expect(done).toEqual(18)
 })
 
-test('a target that refuses while it has room is asked less and less often, and again when it takes work', () => {
+test('a target that refuses despite free capacity is tried less and less often, and used again once it accepts work', () => {
   const scheduler = schedulerWith(['a1', 'a2', 'b1'].map(target => describe(target)))
   const there = { closed: 0, open: 0 }
   for (let now = 0; now < 40_000; now += 50) {
@@ -332,9 +332,9 @@
   expect(there.open > 400).toEqual(true)
 })
 
-// A refused task was queued as if it had just come: shorter tasks that came later passed it each
-// time, and its wait for a provider's turn began anew.
-test('a refused task keeps its first place', () => {
+// Guards against queueing a refused task as newly arrived: shorter tasks that arrive later would overtake
+// it each time, and its wait for a provider's share would start again.
+test('a refused task keeps its original position', () => {
   const scheduler = schedulerWith([describe('a1')], { credit: 1 })
   const job = tasks('first', 1, { deadline: 1e6, service: 'record' })
   scheduler.enqueue(job, 0)
@@ -347,10 +347,10 @@
   expect(again.patienceMilliseconds).toEqual(refused.patienceMilliseconds - 3000)
 })
 
-// One target fails all it starts. The first failure ends a job, and the job's other tasks are broken
-// off wherever they are. Were that counted against the targets that had them, every target would
-// seem to fail, none would stand out, and the bad one would go on drawing work for ever.
-test('tasks that are broken off because one failed do not count against their targets', () => {
+// One target fails every task. The first failure ends a job, and the job's other tasks are cancelled at
+// their targets. If those cancellations counted as failures, all targets would appear to fail, no target
+// would stand out, and the faulty one would keep receiving work.
+test('tasks that are cancelled because one failed do not count against their targets', () => {
   const scheduler = schedulerWith(['a1', 'a2', 'a3'].map(target => describe(target)))
   warmUp(scheduler)
   for (let number = 0; number < 20; number += 1) {
@@ -364,9 +364,10 @@
   expect(scheduler.status().health).toEqual({ a1: 0, a2: 1, a3: 1 })
 })
 
-// A target hangs until the deadlines of its tasks pass and they are broken off. It then held
-// nothing, seemed idle, and was given as much as the others until it was found silent once more.
-test('a target that hung is probed with one task when its old ones have been broken off', () => {
+// A target hangs until its tasks reach their deadlines and are cancelled. It then has no unfinished tasks
+// and appears idle, and without probing it would get as many tasks as the others until it is found
+// unresponsive again.
+test('a target that hung is probed with one task after its earlier ones have been cancelled', () => {
   const scheduler = schedulerWith(['a1', 'a2', 'a3'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.enqueue(tasks('job', 9, { service: 'record' }), 0)
@@ -381,10 +382,10 @@
   expect(scheduler.status().health['a1']).toEqual(0)
 })
 
-// A caller's job ends `failed deadlinePassed` though every target is idle. The tenant is held back by
-// its slots; when its last task ends a slot is free, but the rate has no start left. No further task
-// of the tenant will end, so only time can let it go on, and nothing had noted when.
-test('a tenant held by its slots and then by its rate goes on in time', () => {
+// Guards against a job that ends as `failed deadlinePassed` although every target is idle. The tenant is
+// throttled by its slot quota; when its last task ends, a slot is free but the rate quota allows no start.
+// No further task of the tenant will end, so only a timer can resume it.
+test('a tenant throttled by its slot quota and then by its rate quota resumes in time', () => {
   const team = { tasksPerSecond: 1, burst: 2, slots: 1, weight: 1 }
   const scheduler = schedulerWith([describe('a1')], { configuration: { ...configuration, tenants: { team } } })
   scheduler.enqueue(tasks('job', 3, { service: 'record', deadline: 60_000 }), 0)
@@ -397,8 +398,9 @@
   expect(started).toEqual(3)
 })
 
-// Guards against jobs refused for want of targets: beside one that leaves, the last that takes work was closed for one refusal.
-test('the last target that takes work is not closed for a refusal while another one leaves', () => {
+// Guards against jobs that are refused for lack of targets: beside a leaving target, the last one that
+// accepts work must not be ejected for one refusal.
+test('the last target that accepts work is not ejected for a refusal while another one leaves', () => {
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.targetReport('b1#1', { ...report(), leaving: true }, 1)
@@ -407,7 +409,7 @@
   expect(scheduler.admit(tasks('job', 1), 2).admitted).toEqual(true)
 })
 
-test('a target that refuses what it has room for is closed while others take work', () => {
+test('a target that refuses despite free capacity is ejected while others accept work', () => {
   const scheduler = schedulerWith(['a1', 'b1'].map(target => describe(target)))
   warmUp(scheduler)
   scheduler.enqueue(tasks('refused', 1), 1)
--- a/packages/coordination/test/shares.test.ts
+++ b/packages/coordination/test/shares.test.ts
@@ -2,11 +2,11 @@
 import { expect } from 'earl'
 import { ShareSequence } from '../src/shares.ts'
 
-function walk (sequence: ShareSequence, tasks: number, present: string[]): string[] {
+function takeTasks (sequence: ShareSequence, tasks: number, present: string[]): string[] {
   const taken: string[] = []
   for (let task = 0; task < tasks; task += 1) {
     const provider = sequence.next(present, present) as string
-    sequence.take(provider, present)
+    sequence.recordDispatch(provider, present)
     taken.push(provider)
   }
   return taken
@@ -30,13 +30,13 @@
 ]
 
 for (const { shares, entries } of cases) {
-  test(`${JSON.stringify(shares)} holds within 2 points in every window of 200 over ${entries} entries`, () => {
+  test(`${JSON.stringify(shares)} is kept within 2 points in every window of 200 over ${entries} entries`, () => {
     const present = Object.keys(shares)
     const sequences = Array.from({ length: entries }, (_, entry) => new ShareSequence(shares, entry * 0.37 % 1))
     const taken: string[] = []
     for (let task = 0; task < 3000; task += 1) {
       const sequence = sequences[(task * 7 + (task >> 3)) % entries] as ShareSequence
-      taken.push(...walk(sequence, 1, present))
+      taken.push(...takeTasks(sequence, 1, present))
     }
     const errors = Object.entries(shares).map(([provider, share]) => largestError(taken, provider, share, 200))
     expect(Math.max(...errors) <= 2).toEqual(true)
@@ -46,27 +46,27 @@
 test('a provider without a share gets nothing', () => {
   const sequence = new ShareSequence({ a: 100, b: 0 }, 0)
   expect(sequence.next(['b'], ['b'])).toEqual(undefined)
-  expect(new Set(walk(sequence, 50, ['a', 'b']))).toEqual(new Set(['a']))
+  expect(new Set(takeTasks(sequence, 50, ['a', 'b']))).toEqual(new Set(['a']))
 })
 
-// A provider goes away for an hour and comes back. If the others' share in that time counted as its
-// loss, it would get every task for as long, and a returning provider would be met with a storm.
-test('nothing is owed to a provider that was away', () => {
+// A provider is absent for an hour. If the tasks of the others in that time counted as its debt, it would
+// receive every task for as long after its return.
+test('a provider that was absent gets no extra tasks when it returns', () => {
   const sequence = new ShareSequence({ a: 50, b: 50 }, 0)
-  walk(sequence, 1000, ['a'])
-  const after = walk(sequence, 20, ['a', 'b'])
+  takeTasks(sequence, 1000, ['a'])
+  const after = takeTasks(sequence, 20, ['a', 'b'])
   expect(after.filter(provider => provider === 'b').length <= 11).toEqual(true)
 })
 
-test('what a full provider missed is paid back, up to two tasks', () => {
+test('tasks that a full provider missed are made up for, up to two of them', () => {
   const sequence = new ShareSequence({ a: 50, b: 50 }, 0)
-  for (let task = 0; task < 100; task += 1) sequence.take('a', ['a', 'b'])
-  const after = walk(sequence, 40, ['a', 'b'])
+  for (let task = 0; task < 100; task += 1) sequence.recordDispatch('a', ['a', 'b'])
+  const after = takeTasks(sequence, 40, ['a', 'b'])
   const hits = after.filter(provider => provider === 'b').length
   expect(hits >= 21 && hits <= 23).toEqual(true)
 })
 
-test('entries with different offsets do not begin with the same provider', () => {
+test('entries with different offsets do not start with the same provider', () => {
   const firsts = [0, 0.3, 0.6, 0.9].map(offset => new ShareSequence({ a: 50, b: 50 }, offset).next(['a', 'b'], ['a', 'b']))
   expect(new Set(firsts).size).toEqual(2)
 })
--- a/packages/coordination/test/slots.test.ts
+++ b/packages/coordination/test/slots.test.ts
@@ -3,7 +3,7 @@
 import { Slots } from '../src/slots.ts'
 import type { SlotTask } from '../src/slots.ts'
 
-const nothing = { accelerators: 0, memoryMegabytes: 0 }
+const noNeeds = { accelerators: 0, memoryMegabytes: 0 }
 
 function slots (options: { slots?: number, accelerators?: number, queueLimit?: number } = {}, entries = ['one', 'two']): Slots {
   const made = new Slots({ slots: 2, accelerators: 0, memoryMegabytes: 1000, queueLimit: 4, ...options })
@@ -12,16 +12,16 @@
 }
 
 function task (id: number, more: Partial<SlotTask> = {}): SlotTask {
-  return { id, entry: 'one', needs: nothing, runMilliseconds: 0, ...more }
+  return { id, entry: 'one', needs: noNeeds, runMilliseconds: 0, ...more }
 }
 
-test('starts while slots are free, then queues', () => {
+test('starts tasks while slots are free, then queues them', () => {
   const made = slots()
   expect([1, 2, 3].map(id => made.offer(task(id), 0))).toEqual(['start', 'start', 'queue'])
   expect(made.load('one')).toEqual({ running: 2, queued: 1, credit: 6 })
 })
 
-test('a slot that comes free goes to the waiting task with the least patience', () => {
+test('a free slot goes to the waiting task that may be overtaken for the shortest time', () => {
   const made = slots()
   made.offer(task(1), 0)
   made.offer(task(2), 0)
@@ -31,22 +31,22 @@
   expect(made.release(2)).toEqual([3])
 })
 
-test('without patience the oldest goes first', () => {
+test('without overtaking limits the oldest task goes first', () => {
   const made = slots()
   for (const id of [1, 2, 3, 4]) made.offer(task(id), 0)
   expect(made.release(1)).toEqual([3])
 })
 
-// One entry's burst fills the queue of every agent. A second entry, which has had nothing so far,
-// would be refused everywhere for as long as the burst lasts.
-test('an entry below its equal part is taken although the queue is full', () => {
+// One entry's burst fills the queue of every agent. Without a guaranteed minimum, an entry that has no
+// tasks there would be refused everywhere for as long as the burst lasts.
+test('a task of an entry below its equal share is accepted although the queue is full', () => {
   const made = slots()
   for (let id = 1; id <= 6; id += 1) made.offer(task(id), 0)
   expect(made.offer(task(7), 0)).toEqual('full')
   expect(made.offer(task(8, { entry: 'two' }), 0)).toEqual('queue')
 })
 
-test('a task that needs an accelerator waits for one and does not hold up the others', () => {
+test('a task that needs an accelerator waits for one and does not block the others', () => {
   const made = slots({ slots: 3, accelerators: 1 })
   const needs = { accelerators: 1, memoryMegabytes: 0 }
   expect(made.offer(task(1, { needs }), 0)).toEqual('start')
@@ -56,9 +56,9 @@
   expect(made.release(1)).toEqual([2])
 })
 
-// Small tasks come all the time and each fits beside the others. A large one that waits for memory
-// would see it taken again each time a little comes free.
-test('a task that waits for memory is not passed by smaller ones that need memory too', () => {
+// Small tasks arrive continuously and each fits beside the running ones. If they started on arrival, a
+// large task that waits for memory would see it taken again each time a little is freed.
+test('a small task that needs memory is queued behind a larger one that waits for memory', () => {
   const made = slots({ slots: 8 })
   const small = { accelerators: 0, memoryMegabytes: 400 }
   expect([1, 2].map(id => made.offer(task(id, { needs: small }), 0))).toEqual(['start', 'start'])
@@ -67,21 +67,21 @@
   expect(made.release(1)).toEqual([4])
 })
 
-test('takes back only what still waits', () => {
+test('cancels only tasks that still wait', () => {
   const made = slots()
   for (const id of [1, 2, 3]) made.offer(task(id), 0)
-  expect([1, 3, 3].map(id => made.withdraw(id))).toEqual([false, true, false])
+  expect([1, 3, 3].map(id => made.cancelWaiting(id))).toEqual([false, true, false])
   expect(made.release(1)).toEqual([])
 })
 
-test('releases an unknown task without effect', () => {
+test('releasing an unknown task has no effect', () => {
   const made = slots()
   made.offer(task(1), 0)
   made.release(9)
   expect(made.load('one').running).toEqual(1)
 })
 
-test('credit falls as others use the target, and never below the equal part', () => {
+test('credit falls as other entries use the target, but never below the equal share', () => {
   const made = slots({ slots: 4, queueLimit: 4 })
   for (let id = 0; id < 400; id += 1) {
     made.offer(task(id, { entry: 'two' }), 0)
@@ -91,7 +91,7 @@
   expect(made.load('two').credit).toEqual(8)
 })
 
-test('reports stay below a tenth of the tasks however the load swings', () => {
+test('the number of reports stays below a tenth of the tasks however the load changes', () => {
   const made = slots({ slots: 8, queueLimit: 8 }, ['one', 'two', 'three'])
   for (const entry of ['one', 'two', 'three']) made.load(entry)
   let reports = 0
@@ -102,7 +102,7 @@
       id += 1
       made.offer(task(id, { entry }), 0)
       if (number > 12) made.release(id - 12)
-      reports += made.changedReports().length
+      reports += made.entriesToReport().length
     }
   }
   expect(reports > 0 && reports <= id / 10).toEqual(true)
--- a/packages/dispatch/src/fleettrust.ts
+++ b/packages/dispatch/src/fleettrust.ts
@@ -57,9 +57,9 @@
     this.#health.remove(agent.health)
     agent.unanswered = end.cause === Cause.Unanswered ? agent.unanswered + 1 : 0
     if (end.outcome === Outcome.Done) {
-      agent.health.noteSuccess(end.ran * agent.speed / Math.max(1, placement.expected), now)
+      agent.health.recordSuccess(end.ran * agent.speed / Math.max(1, placement.expected), now)
     } else if (end.outcome === Outcome.Failed || AGAINST_TARGET.has(end.cause) || agent.unanswered >= UNANSWERED_TOLERATED) {
-      agent.health.noteFailure()
+      agent.health.recordFailure()
     }
     const pause = PAUSES[end.cause]
     if (pause !== undefined) {
@@ -75,7 +75,7 @@
   /** A task that stood still there speaks against the target as a failed one does. */
   noteStuck (agent: AgentView, now: number): void {
     this.#health.remove(agent.health)
-    agent.health.noteFailure()
+    agent.health.recordFailure()
     this.#health.add(agent.health)
     this.#ejectIfDue(agent, now)
   }
