--- a/packages/coordination/explore/deeds.ts
+++ b/packages/coordination/explore/actions.ts
@@ -1,69 +1,70 @@
-/** What steps do to the world, now or later. */
+/** Actions on the simulated system, executed at once or after a delay. */
 import type { Job } from '../src/messages.ts'
-import type { JobLot } from './joblot.ts'
-import type { Picks } from './picks.ts'
+import type { JobSet } from './jobset.ts'
+import type { ProcessPicker } from './processpicker.ts'
 import type { AgentProcess, EntryProcess } from './processes.ts'
 import type { Step } from './schedule.ts'
 import type { World } from './world.ts'
 
-const MOST_ENTRIES = 5
+const MAX_ENTRIES = 5
 
-export interface DeedsParts {
+export interface ActionsDependencies {
   world: World
-  picks: Picks
-  jobs: JobLot
-  /** Entries that the world begins with. */
+  picker: ProcessPicker
+  jobs: JobSet
+  /** Number of entries at the start. */
   entries: number
 }
 
-export class Deeds {
+/** Runs single actions, and counts those that are delayed. */
+export class Actions {
   readonly #world: World
-  readonly #picks: Picks
-  readonly #jobs: JobLot
+  readonly #picker: ProcessPicker
+  readonly #jobs: JobSet
   #nextEntry: number
   #pending = 0
 
-  constructor ({ world, picks, jobs, entries }: DeedsParts) {
+  constructor ({ world, picker, jobs, entries }: ActionsDependencies) {
     this.#world = world
-    this.#picks = picks
+    this.#picker = picker
     this.#jobs = jobs
     this.#nextEntry = entries + 1
   }
 
-  /** Deeds that were put off and are not done yet. */
+  /** Number of delayed actions that have not been executed yet. */
   get pending (): number {
     return this.#pending
   }
 
-  /** Id of the entry that joins next; undefined when there are as many as may be. */
+  /** Id of the next entry to join; undefined when the maximum number of entries is alive. */
   get nextEntry (): string | undefined {
-    return this.#world.liveEntries().length < MOST_ENTRIES ? `entry-${this.#nextEntry}` : undefined
+    return this.#world.liveEntries().length < MAX_ENTRIES ? `entry-${this.#nextEntry}` : undefined
   }
 
   submit (entryNumber: number, job: Job | undefined): void {
-    const entry = this.#picks.entry(entryNumber)
+    const entry = this.#picker.entry(entryNumber)
     if (entry === undefined || job === undefined) return
-    this.#world.callers.submit(entry, this.#jobs.lodge(job))
+    this.#world.callers.submit(entry, this.#jobs.firstSubmission(job))
   }
 
-  /** Submits through the first live entry among these ids. */
+  /** Submits a job through the first live entry among these ids. */
   submitAt (ids: string[], job: Job | undefined): void {
     const entry = this.#world.liveEntries().find(candidate => ids.includes(candidate.id))
-    if (entry !== undefined && job !== undefined) this.#world.callers.submit(entry, this.#jobs.lodge(job))
+    if (entry !== undefined && job !== undefined) this.#world.callers.submit(entry, this.#jobs.firstSubmission(job))
   }
 
   resubmitLater (job: Job | undefined, step: Step): void {
     if (job === undefined) return
-    this.later(step.second * 40, () => this.submit(step.first, this.#jobs.asLodged(job)))
-    this.later(1000 + step.duration, () => this.submit(step.first + 1, this.#jobs.asLodged(job)))
+    this.later(step.second * 40, () => this.submit(step.first, this.#jobs.asSubmitted(job)))
+    this.later(1000 + step.duration, () => this.submit(step.first + 1, this.#jobs.asSubmitted(job)))
   }
 
-  /** Does something later; the faults go on until it is done. */
-  later (delay: number, deed: () => void): void {
+  /** Schedules an action after a delay. Faults continue until every delayed action has been executed. */
+  later (delay: number, action: () => void): void {
     this.#pending += 1
     this.#world.timeline.after(delay, () => {
       this.#pending -= 1
-      deed()
+      action()
     })
   }
 
@@ -71,8 +72,8 @@
     if (process !== undefined) this.#world.crash(process)
   }
 
-  freeze (process: EntryProcess | AgentProcess | undefined, duration: number): void {
-    if (process !== undefined) this.#world.freeze(process, duration)
+  pause (process: EntryProcess | AgentProcess | undefined, duration: number): void {
+    if (process !== undefined) this.#world.pause(process, duration)
   }
 
   restartEntry (number: number): void {
@@ -89,14 +90,14 @@
   }
 
   cut (step: Step, bothWays: boolean): void {
-    const left = this.#picks.any(step.first)
-    const right = this.#picks.any(step.second)
+    const left = this.#picker.any(step.first)
+    const right = this.#picker.any(step.second)
     if (left === undefined || right === undefined || left === right) return
     this.#world.network.cut(left.id, right.id, step.duration)
     if (bothWays) this.#world.network.cut(right.id, left.id, step.duration)
   }
 
-  /** Cuts each of these ids off from each of those, both ways. */
+  /** Partitions each id of `left` from each id of `right`, in both directions. */
   separate (left: readonly string[], right: readonly string[], duration: number): void {
     for (const one of left) {
       for (const other of right) {
--- a/packages/coordination/explore/dialling.ts
+++ b/packages/coordination/explore/dialling.ts
@@ -1,44 +1,46 @@
-/** The links that processes want, each dialled again and again until it is up. */
+/** Maintains the links that processes request; each is dialled repeatedly until it is up. */
 import type { Instance } from '../src/messages.ts'
-import type { Chance } from './chance.ts'
+import type { SeededRandom } from './seededrandom.ts'
 import type { Network } from './network.ts'
 import type { Process } from './processes.ts'
 import type { Timeline } from './timeline.ts'
 import { idOf } from '../src/view.ts'
 
-export interface DiallingParts {
+export interface DiallingDependencies {
   timeline: Timeline
-  chance: Chance
+  chance: SeededRandom
   network: Network
   process: (instance: Instance) => Process | undefined
   isEntry: (instance: Instance) => boolean
-  /** The process that has this id now, if any. */
+  /** The running process with this id, if any. */
   current: (id: string) => Instance | undefined
-  /** The address of `peer` has refused a connection of an entry. */
+  /** Called when the address of `peer` refuses a connection of an entry. */
   refused: (entry: Instance, peer: Instance) => void
 }
 
 export class Dialling {
   readonly #timeline: Timeline
-  readonly #chance: Chance
+  readonly #chance: SeededRandom
   readonly #network: Network
   readonly #process: (instance: Instance) => Process | undefined
   readonly #isEntry: (instance: Instance) => boolean
   readonly #current: (id: string) => Instance | undefined
   readonly #refused: (entry: Instance, peer: Instance) => void
 
-  constructor (parts: DiallingParts) {
-    this.#timeline = parts.timeline
-    this.#chance = parts.chance
-    this.#network = parts.network
-    this.#process = parts.process
-    this.#isEntry = parts.isEntry
-    this.#current = parts.current
-    this.#refused = parts.refused
+  constructor (dependencies: DiallingDependencies) {
+    this.#timeline = dependencies.timeline
+    this.#chance = dependencies.chance
+    this.#network = dependencies.network
+    this.#process = dependencies.process
+    this.#isEntry = dependencies.isEntry
+    this.#current = dependencies.current
+    this.#refused = dependencies.refused
   }
 
-  /** The process keeps links to these instances from now on, and to no others. */
-  want (process: Process, instances: Instance[]): void {
+  /**
+   * Sets the instances to which the process keeps links, and closes links that neither end needs any more.
+   */
+  setWanted (process: Process, instances: Instance[]): void {
     const dropped = [...process.wanted].filter(instance => !instances.includes(instance))
     process.wanted = new Set(instances)
     for (const instance of dropped) {
@@ -48,17 +50,17 @@
   }
 
   dial (process: Process): void {
-    if (!process.alive || process.frozen) return
+    if (!process.alive || process.paused) return
     for (const instance of process.wanted) {
       if (this.#network.linked(process.instance, instance)) continue
-      if (!this.#network.isolated(process.id, idOf(instance))) this.#call(process, instance)
+      if (!this.#network.isolated(process.id, idOf(instance))) this.#tryConnect(process, instance)
     }
   }
 
-  #call (process: Process, instance: Instance): void {
+  #tryConnect (process: Process, instance: Instance): void {
     const callee = this.#process(instance)
     if (callee?.alive === true) {
-      if (!callee.frozen) this.#network.connect(process.instance, instance)
+      if (!callee.paused) this.#network.connect(process.instance, instance)
       return
     }
     if (!this.#isEntry(process.instance) || this.#current(idOf(instance)) !== undefined) return
--- a/packages/coordination/explore/effects.ts
+++ b/packages/coordination/explore/effects.ts
@@ -1,25 +1,25 @@
-/** Carries out what the cores want done, with the world's store, targets and network. */
+/** Executes the effects that entries and agents request, on the simulated store, targets and network. */
 import type { AgentEffect, AgentEvent } from '../src/agenttypes.ts'
 import type { EntryEffect, EntryEvent } from '../src/entrytypes.ts'
 import type { Dialling } from './dialling.ts'
 import type { FakeStore, StorePath } from './fakestore.ts'
 import type { FakeTargets } from './faketarget.ts'
-import type { Judge } from './invariants.ts'
+import type { InvariantChecker } from './invariants.ts'
 import type { Network } from './network.ts'
 import type { AgentProcess, EntryProcess, Process } from './processes.ts'
 import type { Trace } from './trace.ts'
 import { STORE } from './names.ts'
 
-export interface EffectsParts {
+export interface EffectsDependencies {
   store: FakeStore
   targets: FakeTargets
   network: Network
-  judge: Judge
+  checker: InvariantChecker
   dialling: Dialling
   trace: Trace
   entryEvent: (entry: EntryProcess, event: EntryEvent) => void
   agentEvent: (agent: AgentProcess, event: AgentEvent) => void
-  /** The process has ended. */
+  /** Ends the process. */
   end: (process: Process) => void
 }
 
@@ -27,23 +27,23 @@
   readonly #store: FakeStore
   readonly #targets: FakeTargets
   readonly #network: Network
-  readonly #judge: Judge
+  readonly #checker: InvariantChecker
   readonly #dialling: Dialling
   readonly #trace: Trace
   readonly #entryEvent: (entry: EntryProcess, event: EntryEvent) => void
   readonly #agentEvent: (agent: AgentProcess, event: AgentEvent) => void
   readonly #end: (process: Process) => void
 
-  constructor (parts: EffectsParts) {
-    this.#store = parts.store
-    this.#targets = parts.targets
-    this.#network = parts.network
-    this.#judge = parts.judge
-    this.#dialling = parts.dialling
-    this.#trace = parts.trace
-    this.#entryEvent = parts.entryEvent
-    this.#agentEvent = parts.agentEvent
-    this.#end = parts.end
+  constructor (dependencies: EffectsDependencies) {
+    this.#store = dependencies.store
+    this.#targets = dependencies.targets
+    this.#network = dependencies.network
+    this.#checker = dependencies.checker
+    this.#dialling = dependencies.dialling
+    this.#trace = dependencies.trace
+    this.#entryEvent = dependencies.entryEvent
+    this.#agentEvent = dependencies.agentEvent
+    this.#end = dependencies.end
   }
 
   ofEntry (entry: EntryProcess, effect: EntryEffect): void {
@@ -51,15 +51,15 @@
     switch (effect.type) {
       case 'answer':
         this.#trace.note(entry.instance, `ANSWER ${effect.request} kind ${effect.answer.kind} cause ${effect.answer.cause} ${effect.answer.detail}`)
-        this.#judge.decided(effect.answer)
-        this.#judge.answered(effect.request, effect.answer)
+        this.#checker.recordDecision(effect.answer)
+        this.#checker.answered(effect.request, effect.answer)
         break
       case 'sendAgent': this.#network.send(entry.instance, effect.agent, effect.message); break
       case 'sendPeer':
-        if (effect.message.case === 'answer') this.#judge.decided(effect.message.value.answer)
+        if (effect.message.case === 'answer') this.#checker.recordDecision(effect.message.value.answer)
         this.#network.send(entry.instance, effect.peer, effect.message)
         break
-      case 'connectPeers': this.#dialling.want(entry, effect.peers.map(peer => peer.instance)); break
+      case 'connectPeers': this.#dialling.setWanted(entry, effect.peers.map(peer => peer.instance)); break
       case 'readView': this.#readView(entry); break
       case 'writeView':
         this.#store.write(this.#pathOf(entry), effect.view, effect.expectedRevision, outcome => {
@@ -82,7 +82,7 @@
         })
         break
       case 'abortTask': this.#targets.abort(agent.instance, effect.task); break
-      case 'connectEntries': this.#dialling.want(agent, effect.entries.map(entry => entry.instance)); break
+      case 'connectEntries': this.#dialling.setWanted(agent, effect.entries.map(entry => entry.instance)); break
       case 'readView':
         this.#store.read(this.#pathOf(agent), outcome => {
           if (outcome !== undefined) this.#agentEvent(agent, { type: 'viewRead', view: outcome.view })
@@ -95,7 +95,7 @@
 
   #stopped (entry: EntryProcess): void {
     this.#trace.note(entry.instance, 'stopped')
-    this.#judge.stoppedWithout(entry.instance)
+    this.#checker.checkStopped(entry.instance)
     this.#end(entry)
   }
 
@@ -109,8 +109,8 @@
 
   #pathOf (process: Process): StorePath {
     return {
-      there: () => !this.#network.isCut(process.id, STORE),
-      back: () => !this.#network.isCut(STORE, process.id)
+      requestPasses: () => !this.#network.isCut(process.id, STORE),
+      responsePasses: () => !this.#network.isCut(STORE, process.id)
     }
   }
 }
--- a/packages/coordination/explore/explore.ts
+++ b/packages/coordination/explore/explore.ts
@@ -1,9 +1,10 @@
 /**
- * Searches schedules of faults for one that breaks an invariant.
+ * Command line of the explorer: searches schedules of faults for one that violates an invariant, or replays
+ * one.
  *
- *     npm run explore -- --seed 1 --runs 20000
- *     npm run explore -- --break fence
- *     npm run explore -- --replay '<the schedule that an earlier run printed>' [--break fence]
+ * npm run explore -- --seed 1 --runs 20000
+ * npm run explore -- --break fence
+ * npm run explore -- --replay '<the schedule that an earlier run printed>' [--break fence]
  */
 import yargs from 'yargs'
 import { hideBin } from 'yargs/helpers'
--- a/packages/coordination/explore/fakescheduler.ts
+++ b/packages/coordination/explore/fakescheduler.ts
@@ -1,16 +1,16 @@
 /**
- * A scheduler that places tasks at random, so that the explorer reaches assignments that a good
- * policy avoids: tasks wait for no reason, agents are overfilled, admission refuses by chance.
+ * A scheduler that places tasks at random, so that the explorer reaches assignments that a good policy
+ * avoids: tasks are delayed without a reason, agents are overloaded, and admission refuses at random.
  */
 import type { Instance, JobKey, TargetDescription, TargetReport, TaskOutcome } from '../src/messages.ts'
 import type { Admission, Assignment, PlacedTask, SchedulableTask, Scheduler, SchedulerStatus } from '../src/scheduling.ts'
-import type { Chance } from './chance.ts'
+import type { SeededRandom } from './seededrandom.ts'
 import { Cause } from '../src/messages.ts'
 
 const REFUSAL_PROBABILITY = 0.05
 const HOLD_PROBABILITY = 0.2
-const LONGEST_HOLD = 1500
-const LONGEST_PAUSE_AFTER_REFUSAL = 300
+const MAX_HOLD = 1500
+const MAX_RETRY_DELAY = 300
 const OUTSTANDING_PER_AGENT = 6
 
 interface QueuedTask {
@@ -23,12 +23,12 @@
 }
 
 export class FakeScheduler implements Scheduler {
-  readonly #chance: Chance
+  readonly #chance: SeededRandom
   readonly #agents = new Map<Instance, { leaving: boolean, outstanding: number }>()
   readonly #queue = new Map<string, QueuedTask>()
   readonly #dispatched = new Set<string>()
 
-  constructor (chance: Chance) {
+  constructor (chance: SeededRandom) {
     this.#chance = chance
   }
 
@@ -49,7 +49,7 @@
     this.#agents.delete(agent)
   }
 
-  /** Jobs lodged after all faults have ended are always taken. */
+  /** Admits jobs at random. Jobs submitted after all faults have ended are always admitted. */
   admit (tasks: readonly SchedulableTask[]): Admission {
     if (tasks[0]?.job.includes('fresh') === true || !this.#chance.happens(REFUSAL_PROBABILITY)) return { admitted: true }
     return { admitted: false, cause: Cause.Overloaded, detail: 'refused by chance', retryAfterMilliseconds: 100 }
@@ -59,7 +59,7 @@
     for (const task of tasks) {
       const name = nameOf(task.job, task.index)
       const again = this.#dispatched.has(name)
-      const held = again ? this.#chance.between(20, LONGEST_PAUSE_AFTER_REFUSAL) : this.#hold()
+      const held = again ? this.#chance.between(20, MAX_RETRY_DELAY) : this.#hold()
       this.#queue.set(name, { task, notBefore: now + held })
     }
   }
@@ -79,7 +79,7 @@
     const assignments: Assignment[] = []
     for (const [name, { task, notBefore }] of this.#queue) {
       if (notBefore > now) continue
-      const agent = this.#place()
+      const agent = this.#chooseAgent()
       if (agent === undefined) return assignments
       this.#queue.delete(name)
       this.#dispatched.add(name)
@@ -102,10 +102,10 @@
   }
 
   #hold (): number {
-    return this.#chance.happens(HOLD_PROBABILITY) ? this.#chance.between(0, LONGEST_HOLD) : 0
+    return this.#chance.happens(HOLD_PROBABILITY) ? this.#chance.between(0, MAX_HOLD) : 0
   }
 
-  #place (): Instance | undefined {
+  #chooseAgent (): Instance | undefined {
     const able = [...this.#agents].filter(([, load]) => !load.leaving && load.outstanding < OUTSTANDING_PER_AGENT)
     const chosen = this.#chance.pick(able)
     if (chosen === undefined) return undefined
--- a/packages/coordination/explore/fakestore.ts
+++ b/packages/coordination/explore/fakestore.ts
@@ -1,38 +1,39 @@
 /**
- * The key-value service as the view sees it: one linearizable value with compare-and-swap. It can
- * be down, slow, or answer too late, in which case the effect may have happened all the same.
+ * The key-value store of the view, simulated as one linearizable value with compare-and-swap. It can be
+ * down or slow, or its answer can be late or lost although the effect has taken place.
  */
 import type { Instance, View } from '../src/messages.ts'
-import type { Chance } from './chance.ts'
+import type { SeededRandom } from './seededrandom.ts'
 import type { Timeline } from './timeline.ts'
 import { EMPTY_VIEW, isMember } from '../src/view.ts'
 
 const TIMEOUT = 1000
-const FAST_LEG = 4
-const SLOW_LEG = 2500
+const MAX_FAST_LATENCY = 4
+const MAX_SLOW_LATENCY = 2500
 
-/** What a caller of the store learns; `unknown` when no answer came in time. */
+/** Result of a call; `undefined` or `unknown` when no answer came in time. */
 export type ReadOutcome = { view: View, revision: number } | undefined
 export type WriteOutcome = 'applied' | 'conflict' | 'unknown'
 
-/** Whether the way to the store, and the way back, is open at this moment. */
+/** Whether requests to the store, and responses from it, pass at this moment. */
 export interface StorePath {
-  there: () => boolean
-  back: () => boolean
+  requestPasses: () => boolean
+  responsePasses: () => boolean
 }
 
+/** The simulated store, shared by all processes. */
 export class FakeStore {
   readonly #timeline: Timeline
-  readonly #chance: Chance
+  readonly #chance: SeededRandom
   readonly #removedAt = new Map<Instance, number>()
   #view: View = EMPTY_VIEW
   #revision = 0
-  #onTheWay = 0
+  #callsInFlight = 0
   #downUntil = 0
   #slowUntil = 0
   #lossyUntil = 0
 
-  constructor (timeline: Timeline, chance: Chance) {
+  constructor (timeline: Timeline, chance: SeededRandom) {
     this.#timeline = timeline
     this.#chance = chance
   }
@@ -41,12 +42,12 @@
     return this.#view
   }
 
-  /** Whether no call is on its way that may still have an effect. */
-  get quiet (): boolean {
-    return this.#onTheWay === 0
+  /** Whether no call is in flight that may still take effect. */
+  get idle (): boolean {
+    return this.#callsInFlight === 0
   }
 
-  /** When an entry was removed from the view, undefined if it was not. */
+  /** Instant at which an entry was removed from the view; undefined if it was not. */
   removedAt (instance: Instance): number | undefined {
     return this.#removedAt.get(instance)
   }
@@ -59,7 +60,7 @@
     this.#slowUntil = Math.max(this.#slowUntil, this.#timeline.now + duration)
   }
 
-  /** Answers get lost after the effect. */
+  /** For this duration, answers may be lost after the effect. */
   loseAnswers (duration: number): void {
     this.#lossyUntil = Math.max(this.#lossyUntil, this.#timeline.now + duration)
   }
@@ -96,21 +97,21 @@
       done(outcome)
     }
     this.#timeline.after(TIMEOUT, () => end(undefined))
-    this.#onTheWay += 1
-    this.#timeline.after(this.#leg(), () => {
-      this.#onTheWay -= 1
-      if (this.#timeline.now < this.#downUntil || !path.there()) return
+    this.#callsInFlight += 1
+    this.#timeline.after(this.#latency(), () => {
+      this.#callsInFlight -= 1
+      if (this.#timeline.now < this.#downUntil || !path.requestPasses()) return
       const outcome = effect()
       const lost = this.#timeline.now < this.#lossyUntil && this.#chance.happens(0.6)
       if (lost) return
-      this.#timeline.after(this.#leg(), () => {
-        if (path.back()) end(outcome)
+      this.#timeline.after(this.#latency(), () => {
+        if (path.responsePasses()) end(outcome)
       })
     })
   }
 
-  #leg (): number {
+  #latency (): number {
     const slow = this.#timeline.now < this.#slowUntil
-    return this.#chance.between(1, slow ? SLOW_LEG : FAST_LEG)
+    return this.#chance.between(1, slow ? MAX_SLOW_LATENCY : MAX_FAST_LATENCY)
   }
 }
--- a/packages/coordination/explore/guards.ts
+++ b/packages/coordination/explore/guards.ts
@@ -8,7 +8,7 @@
 
 export const GUARD_NAMES: string[] = [...Object.keys(ALL_ENTRY_GUARDS), ...Object.keys(ALL_AGENT_GUARDS)]
 
-/** Every guard on but one. */
+/** All guards on, except the named one. */
 export function guardsWithout (name: string | undefined): Guards {
   const entry: EntryGuards = { ...ALL_ENTRY_GUARDS }
   const agent: AgentGuards = { ...ALL_AGENT_GUARDS }
@@ -17,7 +17,7 @@
   return { entry, agent }
 }
 
-/** The traps that a guard is for, made likelier in the search without it. */
+/** The actions against which a guard protects. A search without the guard makes them more likely. */
 const FOCUS: Record<string, readonly Action[]> = {
   rooted: [Action.HideNewAgent],
   isolation: [Action.SplitAndSubmitBoth],
@@ -33,7 +33,7 @@
   submission: [Action.Repeat]
 }
 
-/** Steps to look for when this guard is switched off. */
+/** Actions that a search without this guard focuses on. */
 export function focusOf (name: string | undefined): readonly Action[] {
   return name === undefined ? [] : FOCUS[name] ?? []
 }
--- a/packages/coordination/explore/invariants.ts
+++ b/packages/coordination/explore/invariants.ts
@@ -1,20 +1,20 @@
 /**
- * The judge: what callers were told against what the targets' own records say.
+ * Checks the answers given to callers against the starts recorded by the targets.
  *
- * - `startedTwice`: a task key starts once in all. A repeatable job may start again only after
- *   some entry has raised its horizon, that is, after the system said that it has forgotten.
- * - `falseNotRun`: an answer "refused, not run" to a submission of a job is false when any task of
- *   the job had started before the answer was decided, whichever submission it started for; and a
- *   start is false when every submission made until then has been answered "refused, not run". A
- *   later submission of the same id is a submission of its own: it may be accepted, and a start
- *   counts for it. The refusal of an id that is in use with other content speaks of that content
- *   alone and is not counted. An entry that was removed from the view, and could not know it yet,
- *   is not counted for `BLIND_MILLISECONDS`: its refusal speaks of what it was given itself.
- * - `partial`: a complete answer has the one right result of each task, of that very job.
- * - `contradiction`: a job answered complete is never answered "a task failed", nor the reverse,
- *   unless it ran again as above.
- * - `answeredTwice`, `unanswered`: each request of a process that stays gets one answer.
- * - `stuck`: after all faults have ended, a fresh job runs to completion through every entry.
+ * - `startedTwice`: each task starts at most once. A task of a repeatable job may start again only after an
+ *   entry has raised its horizon, that is, after the system has declared older records lost.
+ * - `falseNotRun`: an answer "refused, not run" to a submission is false if a task of the job had started
+ *   before the answer was decided, whichever submission it started for. A start is false if every
+ *   submission made so far has been answered "refused, not run". A later submission of the same id counts
+ *   separately: it may be accepted, and a start counts for it. The refusal of an id that is in use with
+ *   other content refers to that content only and is not counted. A refusal by an entry that was removed
+ *   from the view but may not have learned it yet is not counted for `REMOVAL_NOTICE_MILLISECONDS`: it
+ *   refers only to what that entry itself received.
+ * - `partial`: a complete answer contains the expected result of each task of the same job.
+ * - `contradiction`: a job is not answered both as complete and as failed, unless it ran again as described
+ *   above.
+ * - `answeredTwice`, `unanswered`: each request to a process that does not end gets exactly one answer.
+ * - `stuck`: after all faults have ended, a new job completes through every entry.
  */
 import type { Answer, Instance, Job } from '../src/messages.ts'
 import type { Start } from './faketarget.ts'
@@ -31,6 +31,7 @@
   Stuck = 'stuck'
 }
 
+/** A violated invariant, with the virtual time in milliseconds. */
 export interface Violation {
   invariant: Invariant
   at: number
@@ -45,21 +46,25 @@
   submittedAt: number
   isSubmission: boolean
   answer: Answer | undefined
-  /** The entry has taken the request in. */
+  /** Whether the entry has processed the arrival of the request. */
   received: boolean
-  /** The entry's process ended, or the caller went away: no answer is expected. */
+  /** Whether the entry's process ended or the caller disconnected, so that no answer is expected. */
   abandoned: boolean
 }
 
-/** How long an entry may not know that it has been removed. */
-const BLIND_MILLISECONDS = 1500
+/** Maximum time in which an entry may not have learned that it was removed from the view. */
+const REMOVAL_NOTICE_MILLISECONDS = 1500
 
-/** Clocks of processes run a little fast. */
-const RETENTION_PART = 0.9
+/**
+ * Fraction of the retention time after which records may be missing: the clocks of processes may run
+ * slightly fast.
+ */
+const RETENTION_FRACTION = 0.9
 
 const decoder = new TextDecoder()
 
-export class Judge {
+/** Records requests, answers and starts, and keeps the first violation. */
+export class InvariantChecker {
   readonly #now: () => number
   readonly #retention: number
   readonly #removedAt: (entry: Instance) => number | undefined
@@ -67,13 +72,13 @@
   readonly #submissions = new Map<string, CallerRequest[]>()
   readonly #complete = new Set<string>()
   readonly #failed = new Set<string>()
-  /** Repeatable jobs that ran again after they were forgotten. */
-  readonly #ranAgain = new Set<string>()
+  /** Repeatable jobs that ran again after a horizon was raised. */
+  readonly #restartedJobs = new Set<string>()
   readonly #starts = new Map<string, number[]>()
-  /** When each refusal was decided. */
+  /** Instant at which each refusal was decided. */
   readonly #decidedAt = new WeakMap<Answer, number>()
   #violation: Violation | undefined
-  /** Answers by kind, for the figures of a run. */
+  /** Number of answers by kind and cause, for the summary of a run. */
   readonly answers = new Map<string, number>()
 
   constructor (now: () => number, retention: number, removedAt: (entry: Instance) => number | undefined) {
@@ -86,7 +91,7 @@
     return this.#violation
   }
 
-  /** Requests whose callers still wait. */
+  /** Requests that still wait for an answer. */
   open (): CallerRequest[] {
     return [...this.#requests.values()].filter(request => request.answer === undefined && !request.abandoned)
   }
@@ -107,30 +112,30 @@
     return this.#requests.get(name)
   }
 
-  /** An entry's process has ended: its callers see their connections break. */
-  processEnded (entry: Instance): void {
+  /** Marks the open requests of an ended entry as abandoned: their connections are closed. */
+  recordProcessEnd (entry: Instance): void {
     for (const request of this.#requests.values()) {
       if (request.entry === entry && request.answer === undefined) request.abandoned = true
     }
   }
 
-  taskStarted (job: string, index: number, agent: Instance, earlier: readonly Start[], forgotten: boolean): void {
+  recordStart (job: string, index: number, agent: Instance, earlier: readonly Start[], forgotten: boolean): void {
     const starts = this.#starts.get(job) ?? []
     starts.push(this.#now())
     this.#starts.set(job, starts)
     const submissions = this.#submissions.get(job) ?? []
     const first = earlier[0]
     const permitted = forgotten && submissions[0]?.job.repeatable === true
-    if (first !== undefined && permitted) this.#ranAgain.add(job)
+    if (first !== undefined && permitted) this.#restartedJobs.add(job)
     if (first !== undefined && !permitted) {
       this.report(Invariant.StartedTwice, `task ${job}/${index} started at ${agent}, and before at ${first.agent} at ${first.at.toFixed(1)}`)
     }
-    const wanted = submissions.some(({ answer }) => answer?.kind !== AnswerKind.Refused)
-    if (!wanted) this.report(Invariant.FalseNotRun, `task ${job}/${index} started at ${agent}, but every submission was answered "not run"`)
+    const accepted = submissions.some(({ answer }) => answer?.kind !== AnswerKind.Refused)
+    if (!accepted) this.report(Invariant.FalseNotRun, `task ${job}/${index} started at ${agent}, but every submission was answered "not run"`)
   }
 
-  /** An entry has just decided this answer, or passes it on. */
-  decided (answer: Answer): void {
+  /** Records when a refusal was decided, the first time an entry gives or forwards it. */
+  recordDecision (answer: Answer): void {
     if (answer.kind === AnswerKind.Refused && !this.#decidedAt.has(answer)) this.#decidedAt.set(answer, this.#now())
   }
 
@@ -147,8 +152,8 @@
     this.#check(request, answer)
   }
 
-  /** The entry ended with requests that it had not answered. */
-  stoppedWithout (entry: Instance): void {
+  /** Reports requests that an entry received but did not answer before it stopped. */
+  checkStopped (entry: Instance): void {
     for (const request of this.#requests.values()) {
       if (request.entry !== entry || request.answer !== undefined || request.abandoned || !request.received) continue
       this.report(Invariant.Unanswered, `${entry} stopped without an answer to ${request.name} for ${request.job.key}`)
@@ -158,48 +163,51 @@
   #check (request: CallerRequest, answer: Answer): void {
     const { job } = request
     if (answer.kind === AnswerKind.Refused) {
-      if (answer.cause !== Cause.IdReused && this.#isFalse(request, answer) && !this.#blind(request.entry)) {
+      if (answer.cause !== Cause.IdReused && this.#contradictsStarts(request, answer) && !this.#mayBeUnawareOfRemoval(request.entry)) {
         this.report(Invariant.FalseNotRun, `request ${request.name} at ${request.entry} for ${job.key} was answered "not run" (${Cause[answer.cause]}), but a task had started`)
       }
       return
     }
     if (answer.kind === AnswerKind.Complete) this.#checkComplete(request, answer)
     if (answer.kind === AnswerKind.Failed && answer.cause === Cause.TaskFailed) this.#failed.add(job.key)
-    if (!this.#ranAgain.has(job.key) && this.#complete.has(job.key) && this.#failed.has(job.key)) {
+    if (!this.#restartedJobs.has(job.key) && this.#complete.has(job.key) && this.#failed.has(job.key)) {
       this.report(Invariant.Contradiction, `job ${job.key} was answered complete and failed`)
     }
   }
 
-  #blind (entry: Instance): boolean {
+  #mayBeUnawareOfRemoval (entry: Instance): boolean {
     const removedAt = this.#removedAt(entry)
-    return removedAt !== undefined && this.#now() - removedAt <= BLIND_MILLISECONDS
+    return removedAt !== undefined && this.#now() - removedAt <= REMOVAL_NOTICE_MILLISECONDS
   }
 
-  #isFalse (request: CallerRequest, answer: Answer): boolean {
+  #contradictsStarts (request: CallerRequest, answer: Answer): boolean {
     const decidedAt = this.#decidedAt.get(answer) ?? this.#now()
     const starts = this.#starts.get(request.job.key) ?? []
-    if (!request.isSubmission && this.#outlived(request)) return false
-    return starts.some(at => at <= decidedAt || !this.#wantedBeside(request, at))
+    if (!request.isSubmission && this.#exceedsRetention(request)) return false
+    return starts.some(at => at <= decidedAt || !this.#accountedForElsewhere(request, at))
   }
 
-  /** A cancel does not say when the job was lodged: it speaks of the retention time alone. */
-  #outlived ({ job }: CallerRequest): boolean {
+  /**
+   * Whether the job's first submission is older than the retention time. A cancellation does not state the
+   * time of submission, so its refusal covers the retention time only.
+   */
+  #exceedsRetention ({ job }: CallerRequest): boolean {
     const first = this.#submissions.get(job.key)?.[0]
-    return first !== undefined && this.#now() - first.submittedAt > this.#retention * RETENTION_PART
+    return first !== undefined && this.#now() - first.submittedAt > this.#retention * RETENTION_FRACTION
   }
 
   /** Whether another submission than this one accounts for a start at this instant. */
-  #wantedBeside (request: CallerRequest, at: number): boolean {
+  #accountedForElsewhere (request: CallerRequest, at: number): boolean {
     const submissions = this.#submissions.get(request.job.key) ?? []
     return submissions.some(other => other !== request && other.submittedAt <= at && other.answer?.kind !== AnswerKind.Refused)
   }
 
   #checkComplete ({ name, job, isSubmission }: CallerRequest, answer: Answer): void {
     this.#complete.add(job.key)
-    const wanted = (isSubmission ? job : this.#submissions.get(job.key)?.[0]?.job ?? job).tasks.map((task, index) => resultOf(job.key, index))
-    const given = answer.results.map(result => decoder.decode(result))
-    if (JSON.stringify(given) !== JSON.stringify(wanted)) {
-      this.report(Invariant.Partial, `request ${name} for ${job.key} got ${JSON.stringify(given)}`)
+    const expected = (isSubmission ? job : this.#submissions.get(job.key)?.[0]?.job ?? job).tasks.map((task, index) => resultOf(job.key, index))
+    const actual = answer.results.map(result => decoder.decode(result))
+    if (JSON.stringify(actual) !== JSON.stringify(expected)) {
+      this.report(Invariant.Partial, `request ${name} for ${job.key} got ${JSON.stringify(actual)}`)
     }
   }
 }
--- a/packages/coordination/explore/names.ts
+++ b/packages/coordination/explore/names.ts
@@ -1,5 +1,5 @@
-/** Names that every part of the world uses. */
+/** Names shared by the parts of the simulation. */
 export const SERVICE = 'service'
 export const TENANT = 'tenant'
-/** The store, as one end of a cut. */
+/** Id of the store as one end of a cut. */
 export const STORE = 'store'
--- a/packages/coordination/explore/network.ts
+++ b/packages/coordination/explore/network.ts
@@ -1,53 +1,53 @@
 /**
- * Links between processes: first in, first out while they last, cut one way or both ways at any
- * moment, noticed early, late or never. Copies of some messages arrive again later, out of order,
- * over links that are long gone, and at the successor of the process that they were meant for.
+ * Links between processes. A link delivers in order while it is up. Cuts in one or both directions happen
+ * at any moment and are detected early, late or never. Copies of some messages arrive again later: out of
+ * order, after their link is closed, and at the new incarnation of the receiving process.
  */
 import type { Instance } from '../src/messages.ts'
-import type { Chance } from './chance.ts'
+import type { SeededRandom } from './seededrandom.ts'
 import type { Timeline } from './timeline.ts'
 import { idOf as computeIdOf } from '../src/view.ts'
 
-const FAST_LEG = 3
-const SLOW_LEG = 900
-const QUICK_NOTICE = 40
-const SLOW_NOTICE = 4000
-const LATE_NOTICE_PROBABILITY = 0.4
-const SURVIVES_LINK_PROBABILITY = 0.4
-const LONGEST_LATENESS = 5000
+const MAX_FAST_LATENCY = 3
+const MAX_SLOW_LATENCY = 900
+const MAX_QUICK_DETECTION = 40
+const MAX_LATE_DETECTION = 4000
+const LATE_DETECTION_PROBABILITY = 0.4
+const LATE_DELIVERY_PROBABILITY = 0.4
+const MAX_REPEAT_DELAY = 5000
 
-/** Messages that may arrive twice and out of order. The others belong to their link. */
+/** Messages that may arrive twice and out of order. All others are delivered on their own link only. */
 const REPEATABLE_MESSAGES = new Set(['dispatch', 'result', 'submit', 'submitted', 'answer', 'cancel', 'receipt', 'receiptKept', 'recall', 'recalled', 'transfer', 'acknowledge'])
 
-/** Any message of the inner protocol. */
+/** Any message of the internal protocol. */
 export interface AnyMessage {
   case: string
   value: unknown
 }
 
-interface Parcel {
+interface Envelope {
   from: Instance
   to: Instance
   message: AnyMessage
 }
 
-interface End {
+interface LinkEnd {
   instance: Instance
   open: boolean
-  /** Instant at which the last message towards this end arrives. */
+  /** Instant at which the last message to this end arrives. */
   lastArrival: number
-  /** Messages towards this end that a cut holds back. */
-  held: Parcel[]
+  /** Messages to this end that a cut holds back. */
+  held: Envelope[]
 }
 
 interface Link {
-  ends: [End, End]
+  ends: [LinkEnd, LinkEnd]
 }
 
-/** What the network does to processes. */
+/** The processes, as the network queries and notifies them. */
 export interface NetworkHost {
   alive: (instance: Instance) => boolean
-  /** The process that has this id now, if any. */
+  /** The running process with this id, if any. */
   current: (id: string) => Instance | undefined
   deliver: (to: Instance, from: Instance, message: AnyMessage) => void
   linkUp: (at: Instance, with_: Instance) => void
@@ -56,7 +56,7 @@
 
 const ids = new Map<Instance, string>()
 
-/** Id of a process without its incarnation; looked up, because the network asks for each message. */
+/** Id of a process without its incarnation; cached, because it is needed for each message. */
 function idOf (instance: Instance): string {
   const known = ids.get(instance)
   if (known !== undefined) return known
@@ -69,18 +69,19 @@
   return left < right ? `${left}|${right}` : `${right}|${left}`
 }
 
+/** The simulated network between entries and agents. */
 export class Network {
   readonly #timeline: Timeline
-  readonly #chance: Chance
+  readonly #chance: SeededRandom
   readonly #host: NetworkHost
   readonly #links = new Map<string, Link>()
-  /** Cut directions, `from>to` by id, with the instant at which each heals. */
+  /** Cut directions, as `from>to` by id, with the instant at which each one heals. */
   readonly #cuts = new Map<string, number>()
   #slowUntil = 0
   #repeatUntil = 0
   #repeatProbability = 0.02
 
-  constructor (timeline: Timeline, chance: Chance, host: NetworkHost) {
+  constructor (timeline: Timeline, chance: SeededRandom, host: NetworkHost) {
     this.#timeline = timeline
     this.#chance = chance
     this.#host = host
@@ -90,7 +91,7 @@
     this.#slowUntil = this.#timeline.now + duration
   }
 
-  /** For a while, half of all messages that may arrive again do. */
+  /** For this duration, half of all repeatable messages are delivered a second time. */
   repeat (duration: number): void {
     this.#repeatUntil = this.#timeline.now + duration
   }
@@ -128,7 +129,7 @@
     return link !== undefined && link.ends.every(end => end.open)
   }
 
-  /** Whether nobody holds a link for open that the other end has lost. */
+  /** Whether no process considers a link open that the other end has lost. */
   settled (): boolean {
     for (const { ends: [left, right] } of this.#links.values()) {
       if (left.open === right.open) continue
@@ -140,19 +141,19 @@
   connect (left: Instance, right: Instance): void {
     const old = this.#links.get(pairOf(left, right))
     if (old !== undefined) for (const end of old.ends) this.#closeEnd(old, end)
-    const link: Link = { ends: [this.#newEnd(left), this.#newEnd(right)] }
+    const link: Link = { ends: [this.#createEnd(left), this.#createEnd(right)] }
     this.#links.set(pairOf(left, right), link)
     this.#host.linkUp(left, right)
     this.#host.linkUp(right, left)
   }
 
-  /** One end closes the link in good order. */
+  /** Closes a link cleanly, at the request of one end. */
   close (left: Instance, right: Instance): void {
     const link = this.#links.get(pairOf(left, right))
-    if (link !== undefined) for (const end of link.ends) this.#timeline.after(this.#leg(), () => this.#closeEnd(link, end))
+    if (link !== undefined) for (const end of link.ends) this.#timeline.after(this.#latency(), () => this.#closeEnd(link, end))
   }
 
-  /** A process has ended: its links break, and the other ends notice when the way is open. */
+  /** Breaks the links of an ended process; the other ends detect it after a delay. */
   ended (instance: Instance): void {
     for (const link of this.#links.values()) {
       const [left, right] = link.ends
@@ -170,45 +171,48 @@
     const link = this.#links.get(pairOf(from, to))
     const end = link?.ends.find(candidate => candidate.instance === to)
     if (link === undefined || end === undefined) return
-    const parcel = { from, to, message }
-    if (REPEATABLE_MESSAGES.has(message.case)) this.#maybeRepeat(parcel)
+    const envelope = { from, to, message }
+    if (REPEATABLE_MESSAGES.has(message.case)) this.#repeatByChance(envelope)
     if (this.isCut(idOf(from), idOf(to)) || end.held.length > 0) {
-      end.held.push(parcel)
+      end.held.push(envelope)
       return
     }
-    this.#transmit(end, parcel)
+    this.#transmit(end, envelope)
   }
 
-  #transmit (end: End, parcel: Parcel): void {
-    const arrival = Math.max(end.lastArrival, this.#timeline.now + this.#leg())
+  #transmit (end: LinkEnd, envelope: Envelope): void {
+    const arrival = Math.max(end.lastArrival, this.#timeline.now + this.#latency())
     end.lastArrival = arrival
-    this.#timeline.after(arrival - this.#timeline.now, () => this.#arrive(end, parcel))
+    this.#timeline.after(arrival - this.#timeline.now, () => this.#arrive(end, envelope))
   }
 
-  #arrive (end: End, parcel: Parcel): void {
-    if (this.isCut(idOf(parcel.from), idOf(parcel.to))) {
-      end.held.push(parcel)
+  #arrive (end: LinkEnd, envelope: Envelope): void {
+    if (this.isCut(idOf(envelope.from), idOf(envelope.to))) {
+      end.held.push(envelope)
       return
     }
     if (end.open) {
-      this.#host.deliver(parcel.to, parcel.from, parcel.message)
+      this.#host.deliver(envelope.to, envelope.from, envelope.message)
       return
     }
-    if (REPEATABLE_MESSAGES.has(parcel.message.case) && this.#chance.happens(SURVIVES_LINK_PROBABILITY)) this.#deliverLate(parcel)
+    if (REPEATABLE_MESSAGES.has(envelope.message.case) && this.#chance.happens(LATE_DELIVERY_PROBABILITY)) this.#deliverLate(envelope)
   }
 
-  #maybeRepeat (parcel: Parcel): void {
+  #repeatByChance (envelope: Envelope): void {
     const probability = this.#timeline.now < this.#repeatUntil ? 0.5 : this.#repeatProbability
     if (!this.#chance.happens(probability)) return
-    this.#timeline.after(this.#chance.between(0, LONGEST_LATENESS), () => this.#deliverLate(parcel))
-  }
-
-  /** A copy without a link: at the process that it was meant for or, for a dispatch, its successor. */
-  #deliverLate (parcel: Parcel): void {
-    if (this.isCut(idOf(parcel.from), idOf(parcel.to))) return
-    const current = this.#host.current(idOf(parcel.to))
-    if (current === parcel.to || (current !== undefined && parcel.message.case === 'dispatch')) {
-      this.#host.deliver(current, parcel.from, parcel.message)
+    this.#timeline.after(this.#chance.between(0, MAX_REPEAT_DELAY), () => this.#deliverLate(envelope))
+  }
+
+  /**
+   * Delivers a copy outside of any link: to the process it was sent to or, for a dispatch, to its new
+   * incarnation.
+   */
+  #deliverLate (envelope: Envelope): void {
+    if (this.isCut(idOf(envelope.from), idOf(envelope.to))) return
+    const current = this.#host.current(idOf(envelope.to))
+    if (current === envelope.to || (current !== undefined && envelope.message.case === 'dispatch')) {
+      this.#host.deliver(current, envelope.from, envelope.message)
     }
   }
 
@@ -218,31 +222,31 @@
         const first = end.held[0]
         if (first === undefined || this.isCut(idOf(first.from), idOf(first.to))) continue
         const held = end.held.splice(0)
-        for (const parcel of held) this.#transmit(end, parcel)
+        for (const envelope of held) this.#transmit(end, envelope)
       }
     }
   }
 
   #breakLater (link: Link): void {
     for (const end of link.ends) {
-      const late = this.#chance.happens(LATE_NOTICE_PROBABILITY)
-      this.#timeline.after(this.#chance.between(0, late ? SLOW_NOTICE : QUICK_NOTICE), () => this.#closeEnd(link, end))
+      const late = this.#chance.happens(LATE_DETECTION_PROBABILITY)
+      this.#timeline.after(this.#chance.between(0, late ? MAX_LATE_DETECTION : MAX_QUICK_DETECTION), () => this.#closeEnd(link, end))
     }
   }
 
-  #closeEnd (link: Link, end: End): void {
+  #closeEnd (link: Link, end: LinkEnd): void {
     if (!end.open) return
     end.open = false
     const other = link.ends[0] === end ? link.ends[1] : link.ends[0]
     if (this.#host.alive(end.instance)) this.#host.linkDown(end.instance, other.instance)
   }
 
-  #newEnd (instance: Instance): End {
+  #createEnd (instance: Instance): LinkEnd {
     return { instance, open: true, lastArrival: 0, held: [] }
   }
 
-  #leg (): number {
+  #latency (): number {
     const slow = this.#timeline.now < this.#slowUntil && this.#chance.happens(0.5)
-    return this.#chance.between(0.3, slow ? SLOW_LEG : FAST_LEG)
+    return this.#chance.between(0.3, slow ? MAX_SLOW_LATENCY : MAX_FAST_LATENCY)
   }
 }
--- a/packages/coordination/explore/processes.ts
+++ b/packages/coordination/explore/processes.ts
@@ -1,11 +1,11 @@
-/** Processes of the world, each with a core of the product and with clocks that differ. */
+/** Processes of the simulated system, each with an entry or agent of the product and its own clocks. */
 import type { Agent } from '../src/agent.ts'
 import type { AgentGuards } from '../src/agentguards.ts'
 import type { Entry } from '../src/entry.ts'
 import type { EntryGuards } from '../src/entrycontext.ts'
 import type { Instance } from '../src/messages.ts'
 
-/** Guards to be switched off. */
+/** The guards of entries and agents, each on or off. */
 export interface Guards {
   entry: EntryGuards
   agent: AgentGuards
@@ -15,10 +15,10 @@
   instance: Instance
   id: string
   alive: boolean
-  frozen: boolean
-  /** What has arrived while it was frozen. */
+  paused: boolean
+  /** Events that arrived while the process was paused. */
   inbox: Array<() => void>
-  /** Instances to which it keeps a link, each with an instance's own address. */
+  /** Instances to which the process keeps a link, each at its own address. */
   wanted: Set<Instance>
   clock: () => number
   wallClock: () => number
--- a/packages/coordination/explore/picks.ts
+++ b/packages/coordination/explore/processpicker.ts
@@ -1,16 +1,16 @@
-/** Chooses among the processes that are alive. */
+/** Selects processes that are alive by the numbers in a step. */
 import type { Job } from '../src/messages.ts'
 import type { AgentProcess, EntryProcess } from './processes.ts'
 import type { World } from './world.ts'
 import { ownerOf } from '../src/rendezvous.ts'
 import { liveMembers } from '../src/view.ts'
 
-/** The item that a number of a step names. */
+/** The item that a number in a step selects. */
 export function pick<Item> (items: readonly Item[], number: number): Item | undefined {
   return items[number % Math.max(1, items.length)]
 }
 
-export class Picks {
+export class ProcessPicker {
   readonly #world: World
 
   constructor (world: World) {
@@ -29,15 +29,15 @@
     return pick([...this.#world.liveEntries(), ...this.#world.liveAgents()], number)
   }
 
-  /** The entry that owns the job by the store's view, if it is alive. */
-  runner (job: Job | undefined): EntryProcess | undefined {
+  /** The entry that owns the job according to the store's view, if it is alive. */
+  executor (job: Job | undefined): EntryProcess | undefined {
     if (job === undefined) return undefined
     const owner = ownerOf(job.key, liveMembers(this.#world.store.view))
     const entry = owner === undefined ? undefined : this.#world.entries.get(owner)
     return entry?.alive === true ? entry : undefined
   }
 
-  /** Ids of the processes that are not among these. */
+  /** Ids of the live processes that are not among these. */
   others (ids: readonly string[]): string[] {
     const all = [...this.#world.liveEntries(), ...this.#world.liveAgents()].map(process => process.id)
     return all.filter(id => !ids.includes(id))
--- a/packages/coordination/explore/recovery.ts
+++ b/packages/coordination/explore/recovery.ts
@@ -1,6 +1,6 @@
-/** The end of a schedule: every fault ends, and the world must recover and serve fresh jobs. */
-import type { Deeds } from './deeds.ts'
-import type { JobLot } from './joblot.ts'
+/** End of a schedule: all faults end, and the system must recover and complete new jobs. */
+import type { Actions } from './actions.ts'
+import type { JobSet } from './jobset.ts'
 import type { EntryProcess } from './processes.ts'
 import type { World } from './world.ts'
 import { AgentState } from '../src/agenttypes.ts'
@@ -9,106 +9,119 @@
 import { liveMembers } from '../src/view.ts'
 import { Invariant } from './invariants.ts'
 
-const RECOVERY = 12000
+const MAX_RECOVERY = 12000
 const FRESH_DEADLINE = 6000
 const FRESH_TASK = 40
-/** A fresh job is lodged later than any horizon by more than the margin of clocks. */
-const BEYOND_HORIZON = 700
-/** A loss of memory may come to light after the first fresh jobs, and admission may ask to come back. */
+/**
+ * Delay before new jobs are submitted, in milliseconds, so that their submission time is later than any
+ * horizon by more than the clock margin.
+ */
+const HORIZON_DELAY = 700
+/**
+ * Maximum number of rounds of new jobs: a loss of records may be detected after the first round, and
+ * admission may ask callers to retry.
+ */
 const FRESH_ATTEMPTS = 5
-const CHECK_PAUSE = 250
+const CHECK_INTERVAL = 250
 
-export interface RecoveryParts {
+export interface RecoveryDependencies {
   world: World
-  jobs: JobLot
-  deeds: Deeds
-  /** Agents that the world begins with. */
+  jobs: JobSet
+  actions: Actions
+  /** Number of agents at the start. */
   agents: number
 }
 
+/** Ends a simulation and checks that the system recovers. */
 export class Recovery {
   readonly #world: World
-  readonly #jobs: JobLot
-  readonly #deeds: Deeds
+  readonly #jobs: JobSet
+  readonly #actions: Actions
   readonly #agents: number
 
-  constructor (parts: RecoveryParts) {
-    this.#world = parts.world
-    this.#jobs = parts.jobs
-    this.#deeds = parts.deeds
-    this.#agents = parts.agents
+  constructor (dependencies: RecoveryDependencies) {
+    this.#world = dependencies.world
+    this.#jobs = dependencies.jobs
+    this.#actions = dependencies.actions
+    this.#agents = dependencies.agents
   }
 
-  /** Ends every fault, waits a bounded time, and asks for one fresh job through every entry. */
+  /** Ends every fault, waits a bounded time for recovery, and submits one new job through every entry. */
   run (): void {
     const world = this.#world
     world.network.heal()
     world.store.heal()
-    for (const process of [...world.entries.values(), ...world.agents.values()]) world.wake(process)
+    for (const process of [...world.entries.values(), ...world.agents.values()]) world.resume(process)
     for (let number = 1; number <= this.#agents; number++) world.startAgent(String(number))
-    this.#replaceLost()
-    if (this.#advanceUntil(RECOVERY, () => this.#recovered())) return
+    this.#replaceStopped()
+    if (this.#advanceUntil(MAX_RECOVERY, () => this.#recovered())) return
     for (let attempt = 1; attempt <= FRESH_ATTEMPTS; attempt++) {
-      if (world.advance(BEYOND_HORIZON)) return
+      if (world.advance(HORIZON_DELAY)) return
       const fresh = world.liveEntries().filter(entry => !entry.stopping).map((entry, index) => this.#submitFresh(entry, `fresh-${attempt}-${index}`))
-      if (fresh.length === 0) world.judge.report(Invariant.Stuck, 'no entry is left')
-      if (this.#advanceUntil(FRESH_DEADLINE + 1000, () => this.#world.judge.open().length === 0)) return
-      if (!fresh.some(name => this.#comesBack(name))) {
-        this.#judgeEnd(fresh)
+      if (fresh.length === 0) world.checker.report(Invariant.Stuck, 'no entry is left')
+      if (this.#advanceUntil(FRESH_DEADLINE + 1000, () => this.#world.checker.open().length === 0)) return
+      if (!fresh.some(name => this.#shouldRetry(name))) {
+        this.#checkEnd(fresh)
         return
       }
     }
-    world.judge.report(Invariant.Stuck, 'fresh jobs are refused for ever')
+    world.checker.report(Invariant.Stuck, 'new jobs are still refused after the last attempt')
   }
 
-  /** A horizon that has just risen, and a scheduler that is still busy, tell callers to come back. */
-  #comesBack (name: string): boolean {
-    const cause = this.#world.judge.request(name)?.answer?.cause
+  /**
+   * Whether the answer asks the caller to retry, because the horizon was just raised or the scheduler is
+   * still busy.
+   */
+  #shouldRetry (name: string): boolean {
+    const cause = this.#world.checker.request(name)?.answer?.cause
     return cause === Cause.BeforeHorizon || cause === Cause.Overloaded || cause === Cause.NotReady
   }
 
-  #judgeEnd (fresh: string[]): void {
-    for (const request of this.#world.judge.open()) {
-      this.#world.judge.report(Invariant.Unanswered, `${request.name} for ${request.job.key} at ${request.entry}, submitted at ${request.submittedAt.toFixed(1)}`)
+  #checkEnd (fresh: string[]): void {
+    for (const request of this.#world.checker.open()) {
+      this.#world.checker.report(Invariant.Unanswered, `${request.name} for ${request.job.key} at ${request.entry}, submitted at ${request.submittedAt.toFixed(1)}`)
     }
     for (const name of fresh) this.#checkFresh(name)
   }
 
-  /** Lets time pass until `done`, and `duration` at most; true when an invariant is broken. */
+  /**
+   * Advances the time until `done` returns true, at most by `duration`. Returns true when an invariant is
+   * violated.
+   */
   #advanceUntil (duration: number, done: () => boolean): boolean {
-    for (let passed = 0; passed < duration && !done(); passed += CHECK_PAUSE) {
-      if (this.#world.advance(CHECK_PAUSE)) return true
-      this.#replaceLost()
+    for (let elapsed = 0; elapsed < duration && !done(); elapsed += CHECK_INTERVAL) {
+      if (this.#world.advance(CHECK_INTERVAL)) return true
+      this.#replaceStopped()
     }
     return false
   }
 
-  /** The platform starts new entries in the place of those that have ended. */
-  #replaceLost (): void {
-    const staying = this.#world.liveEntries().filter(entry => !entry.stopping).length
-    for (let number = 1; number <= 2 - staying; number++) this.#deeds.join()
+  /** Starts entries to replace those that have ended, as the platform does. */
+  #replaceStopped (): void {
+    const remaining = this.#world.liveEntries().filter(entry => !entry.stopping).length
+    for (let number = 1; number <= 2 - remaining; number++) this.#actions.join()
   }
 
-  /** Every request is answered, every entry serves and every agent takes work. */
+  /** Whether every request is answered, every entry serves and every agent accepts work. */
   #recovered (): boolean {
     const world = this.#world
-    if (!world.store.quiet || !world.network.settled()) return false
+    if (!world.store.idle || !world.network.settled()) return false
     const members = liveMembers(world.store.view).map(member => member.instance)
     if (members.length !== world.liveEntries().length || !members.every(member => world.process(member)?.alive === true)) return false
     const serving = world.liveEntries().every(entry => entry.stopping || entry.core.status().state === EntryState.Serving)
-    return serving && world.liveAgents().every(agent => agent.core.status().state === AgentState.Serving) && this.#world.judge.open().length === 0
+    return serving && world.liveAgents().every(agent => agent.core.status().state === AgentState.Serving) && this.#world.checker.open().length === 0
   }
 
   #submitFresh (entry: EntryProcess, name: string): string {
     const { tasks, ...rest } = this.#jobs.newJob(name)
-    const quick = tasks.map(task => ({ ...task, runMilliseconds: FRESH_TASK }))
-    const job = { ...rest, tasks: quick, lodgedAt: this.#world.wallNow(), remainingMilliseconds: FRESH_DEADLINE }
+    const shortTasks = tasks.map(task => ({ ...task, runMilliseconds: FRESH_TASK }))
+    const job = { ...rest, tasks: shortTasks, lodgedAt: this.#world.wallNow(), remainingMilliseconds: FRESH_DEADLINE }
     return this.#world.callers.submit(entry, job)
   }
 
   #checkFresh (name: string): void {
-    const request = this.#world.judge.request(name)
+    const request = this.#world.checker.request(name)
     if (request?.answer?.kind === AnswerKind.Complete) return
-    this.#world.judge.report(Invariant.Stuck, `a fresh job at ${request?.entry ?? ''} was answered ${JSON.stringify(request?.answer)}`)
+    this.#world.checker.report(Invariant.Stuck, `a new job at ${request?.entry ?? ''} was answered ${JSON.stringify(request?.answer)}`)
   }
 }
--- a/packages/coordination/explore/schedule.ts
+++ b/packages/coordination/explore/schedule.ts
@@ -1,7 +1,10 @@
-/** Schedules: what is done to the world, as plain data that fast-check can generate and shrink. */
+/**
+ * Schedules: sequences of actions on the simulated system, as plain data that fast-check can generate and
+ * shrink.
+ */
 import fc from 'fast-check'
 
-/** What one step does. */
+/** The action of one step. Those marked as scenarios are sequences of several actions. */
 export enum Action {
   Submit = 'submit',
   Resubmit = 'resubmit',
@@ -27,35 +30,41 @@
   StoreDown = 'storeDown',
   StoreSlow = 'storeSlow',
   StoreLossy = 'storeLossy',
-  /** The trap: an entry that runs a job dies, and the job is submitted again elsewhere. */
+  /** Scenario: the entry that runs a job crashes, and the job is submitted again elsewhere. */
   CrashRunnerAndResubmit = 'crashRunnerAndResubmit',
-  /** The trap: the entry and the agent that run a job die together, and the job is submitted again. */
+  /** Scenario: the entry that runs a job and an agent crash together, and the job is submitted again. */
   CrashBothAndResubmit = 'crashBothAndResubmit',
-  /** The trap: the entry that runs a job is paused past its lease and woken. */
+  /** Scenario: the entry that runs a job is paused beyond its lease and resumed. */
   PauseRunnerAndResubmit = 'pauseRunnerAndResubmit',
-  /** The trap: a cut leaves the entry that runs a job and one agent together on the far side. */
+  /** Scenario: a network partition isolates the entry that runs a job together with one agent. */
   CutRunnerWithAgent = 'cutRunnerWithAgent',
-  /** The trap: an agent dies with a task and is replaced beside the same target. */
+  /** Scenario: an agent crashes with a task and is replaced at the same target. */
   ReplaceAgent = 'replaceAgent',
-  /** The trap: an entry joins while jobs are on their way. */
+  /** Scenario: an entry joins while jobs are in transit. */
   JoinAndSubmit = 'joinAndSubmit',
-  /** The trap: a cut splits the processes in two for long, and the same job is submitted on both sides. */
+  /**
+   * Scenario: a long network partition splits the processes in two, and the same job is submitted on both
+   * sides.
+   */
   SplitAndSubmitBoth = 'splitAndSubmitBoth',
-  /** The trap: an agent starts while only one entry can be reached, and that entry is lost. */
+  /** Scenario: an agent starts while it can reach only one entry, and that entry is lost. */
   HideNewAgent = 'hideNewAgent',
-  /** The trap: an entry joins by the store while every older one is cut off from it and from the store. */
+  /**
+   * Scenario: an entry joins through the store while all older entries are partitioned from it and from the
+   * store.
+   */
   JoinBehindCut = 'joinBehindCut',
   Wait = 'wait'
 }
 
 export interface Step {
   action: Action
-  /** Chooses a process, a job or a request. */
+  /** Selects a process, a job or a request, by its index modulo the number of candidates. */
   first: number
   second: number
-  /** Milliseconds that a pause, cut or outage lasts. */
+  /** Duration of a pause, partition or outage, in milliseconds. */
   duration: number
-  /** Milliseconds to wait before the step. */
+  /** Time before the step, in milliseconds. */
   wait: number
 }
 
@@ -63,9 +72,11 @@
   seed: number
   entries: number
   agents: number
-  /** The memory is kept for a few seconds only, and callers always say when they lodged a job. */
+  /**
+   * Whether records are retained for a few seconds only; callers then always state the time of submission.
+   */
   shortRetention: boolean
-  /** The scheduler of the product, in place of one that places at random. */
+  /** Whether entries use the scheduler of the product instead of one that places tasks at random. */
   realScheduler: boolean
   steps: Step[]
 }
@@ -107,24 +118,24 @@
   [Action.Wait]: 6
 }
 
-/** How much likelier the steps that a search looks for are made. */
-const FOCUS_FACTOR = 20
+/** Factor by which the weight of actions in the focus of a search is raised. */
+const FOCUS_WEIGHT_FACTOR = 20
 
 const SELECTOR = fc.integer({ min: 0, max: 63 })
 const DURATION = fc.oneof(fc.integer({ min: 50, max: 1500 }), fc.integer({ min: 1500, max: 6000 }))
-const PAUSE = fc.oneof({ weight: 5, arbitrary: fc.integer({ min: 0, max: 60 }) }, { weight: 3, arbitrary: fc.integer({ min: 60, max: 800 }) }, { weight: 1, arbitrary: fc.integer({ min: 800, max: 4000 }) })
+const WAIT = fc.oneof({ weight: 5, arbitrary: fc.integer({ min: 0, max: 60 }) }, { weight: 3, arbitrary: fc.integer({ min: 60, max: 800 }) }, { weight: 1, arbitrary: fc.integer({ min: 800, max: 4000 }) })
 
-function actions (focus: readonly Action[]): fc.Arbitrary<Action> {
+function weightedActions (focus: readonly Action[]): fc.Arbitrary<Action> {
   const weighted = Object.values(Action).map(action => {
-    const weight = WEIGHTS[action] * (focus.includes(action) ? FOCUS_FACTOR : 1)
+    const weight = WEIGHTS[action] * (focus.includes(action) ? FOCUS_WEIGHT_FACTOR : 1)
     return { weight, arbitrary: fc.constant(action) }
   })
   return fc.oneof(...weighted)
 }
 
-/** Any schedule; `focus` names steps that are to come up more often. */
+/** Generates schedules; the actions in `focus` occur more often. */
 export function schedules (focus: readonly Action[] = []): fc.Arbitrary<Schedule> {
-  const step = fc.record({ action: actions(focus), first: SELECTOR, second: SELECTOR, duration: DURATION, wait: PAUSE })
+  const step = fc.record({ action: weightedActions(focus), first: SELECTOR, second: SELECTOR, duration: DURATION, wait: WAIT })
   return fc.record({
     seed: fc.integer({ min: 0, max: 0x7fffffff }),
     entries: fc.integer({ min: 2, max: 4 }),
--- a/packages/coordination/explore/trace.ts
+++ b/packages/coordination/explore/trace.ts
@@ -1,11 +1,11 @@
-/** Lines that tell what happens in the world, for a schedule that is replayed. */
+/** Prints the events of a simulation, for a schedule that is replayed. */
 import type { Instance } from '../src/messages.ts'
 import type { AnyMessage } from './network.ts'
 import type { Timeline } from './timeline.ts'
 
-/** Parts of messages that would fill the lines. */
-const LEFT_OUT = new Set(['payload', 'tasks', 'target', 'report', 'results', 'address', 'dataCentre'])
-const LONGEST_CONTENT = 900
+/** Message fields that are omitted because they would make the lines too long. */
+const OMITTED_FIELDS = new Set(['payload', 'tasks', 'target', 'report', 'results', 'address', 'dataCentre'])
+const MAX_CONTENT_LENGTH = 900
 
 export class Trace {
   readonly #timeline: Timeline
@@ -22,7 +22,7 @@
 
   received (to: Instance, from: Instance, message: AnyMessage): void {
     if (this.#print === undefined) return
-    const content = JSON.stringify(message.value, (key, value) => LEFT_OUT.has(key) ? undefined : value)
-    this.note(to, `<- ${from} ${message.case} ${content.slice(0, LONGEST_CONTENT)}`)
+    const content = JSON.stringify(message.value, (key, value) => OMITTED_FIELDS.has(key) ? undefined : value)
+    this.note(to, `<- ${from} ${message.case} ${content.slice(0, MAX_CONTENT_LENGTH)}`)
   }
 }
--- a/packages/coordination/explore/world.ts
+++ b/packages/coordination/explore/world.ts
@@ -1,7 +1,7 @@
 /**
- * The world that a schedule acts on: the product's own entries and agents under virtual time, with
- * a store, targets and a network that fail. Each process has its own clocks, which start anywhere
- * and run a little fast or slow.
+ * The simulated system that a schedule acts on: the product's own entries and agents under virtual time,
+ * with a store, targets and a network that fail. Each process has its own clocks, with a random offset and
+ * a slightly different rate.
  */
 import type { AgentEvent } from '../src/agenttypes.ts'
 import type { Configuration } from '../src/configuration.ts'
@@ -17,24 +17,24 @@
 import { TaskScheduler } from '../src/scheduler.ts'
 import { Slots } from '../src/slots.ts'
 import { Callers } from './callers.ts'
-import { Chance } from './chance.ts'
+import { SeededRandom } from './seededrandom.ts'
 import { Dialling } from './dialling.ts'
 import { Effects } from './effects.ts'
 import { FakeScheduler } from './fakescheduler.ts'
 import { FakeStore } from './fakestore.ts'
 import { FakeTargets } from './faketarget.ts'
-import { Judge } from './invariants.ts'
+import { InvariantChecker } from './invariants.ts'
 import { SERVICE, TENANT } from './names.ts'
 import { Network } from './network.ts'
 import { Timeline } from './timeline.ts'
 import { Trace } from './trace.ts'
 
-const TICK = 200
-const DIAL_PAUSE = 250
+const TICK_INTERVAL = 200
+const DIAL_INTERVAL = 250
 const WALL_EPOCH = 1_700_000_000_000
-const WALL_SKEW = 100
+const MAX_WALL_SKEW = 100
 const CLOCK_MARGIN = 300
-const CLOCK_RATE = 0.04
+const MAX_CLOCK_RATE_ERROR = 0.04
 const SHORT_RETENTION = 8000
 
 const CONFIGURATION: Configuration = {
@@ -45,13 +45,14 @@
   draining: { targets: [], racks: [], dataCentres: [], providers: [] }
 }
 
+/** The processes, the store, the targets and the network of one simulation. */
 export class World {
   readonly timeline = new Timeline()
-  readonly chance: Chance
+  readonly chance: SeededRandom
   readonly store: FakeStore
   readonly targets: FakeTargets
   readonly network: Network
-  readonly judge: Judge
+  readonly checker: InvariantChecker
   readonly callers: Callers
   readonly entries = new Map<Instance, EntryProcess>()
   readonly agents = new Map<Instance, AgentProcess>()
@@ -69,12 +70,12 @@
     this.#guards = guards
     this.#trace = new Trace(this.timeline, print)
     this.#timings = { ...DEFAULT_TIMINGS, clockMargin: CLOCK_MARGIN, ...(schedule.shortRetention && { retention: SHORT_RETENTION }) }
-    this.chance = new Chance(schedule.seed)
-    this.judge = new Judge(() => this.timeline.now, this.#timings.retention, entry => this.store.removedAt(entry))
+    this.chance = new SeededRandom(schedule.seed)
+    this.checker = new InvariantChecker(() => this.timeline.now, this.#timings.retention, entry => this.store.removedAt(entry))
     this.store = new FakeStore(this.timeline, this.chance)
     this.targets = new FakeTargets(this.timeline, this.chance, (job, index, agent, earlier) => {
       this.#trace.note(agent, `START ${job}/${index}`)
-      this.judge.taskStarted(job, index, agent, earlier, earlier.length > 0 && this.#forgotten())
+      this.checker.recordStart(job, index, agent, earlier, earlier.length > 0 && this.#anyHorizonRaised())
     })
     this.network = new Network(this.timeline, this.chance, {
       alive: instance => this.process(instance)?.alive === true,
@@ -83,15 +84,15 @@
       linkUp: (at, other) => this.#linkUp(at, other),
       linkDown: (at, other) => this.#linkDown(at, other)
     })
-    this.#dialling = this.#newDialling()
-    this.#effects = this.#newEffects()
-    this.callers = this.#newCallers()
+    this.#dialling = this.#createDialling()
+    this.#effects = this.#createEffects()
+    this.callers = this.#createCallers()
   }
 
-  /** Lets time pass; true when an invariant is broken. */
+  /** Advances the time; returns true when an invariant is violated. */
   advance (duration: number): boolean {
-    this.timeline.advance(duration, () => this.judge.violation !== undefined)
-    return this.judge.violation !== undefined
+    this.timeline.advance(duration, () => this.checker.violation !== undefined)
+    return this.checker.violation !== undefined
   }
 
   process (instance: Instance): EntryProcess | AgentProcess | undefined {
@@ -116,7 +117,7 @@
   startEntry (id: string): void {
     if (this.#current(id) !== undefined) return
     const instance = this.#newInstance(id)
-    const base = this.#newProcess(instance, id)
+    const base = this.#createProcess(instance, id)
     const core = new Entry({
       instance,
       address: `http://${id}`,
@@ -132,7 +133,7 @@
     this.entries.set(instance, entry)
     this.#trace.note(instance, 'started')
     this.#entryEvent(entry, { type: 'configurationRead', configuration: CONFIGURATION, document: new Uint8Array() })
-    this.#beginTicks(entry, () => this.#handleEntry(entry, { type: 'tick' }))
+    this.#startTimers(entry, () => this.#handleEntry(entry, { type: 'tick' }))
   }
 
   startAgent (target: string): void {
@@ -147,10 +148,10 @@
       timings: this.#timings,
       guards: this.#guards.agent
     })
-    const agent: AgentProcess = { ...this.#newProcess(instance, id), core, target }
+    const agent: AgentProcess = { ...this.#createProcess(instance, id), core, target }
     this.agents.set(instance, agent)
     this.#trace.note(instance, 'started')
-    this.#beginTicks(agent, () => this.#handleAgent(agent, { type: 'tick' }))
+    this.#startTimers(agent, () => this.#handleAgent(agent, { type: 'tick' }))
   }
 
   crash (process: Process): void {
@@ -159,21 +160,21 @@
     this.#end(process)
   }
 
-  freeze (process: Process, duration: number): void {
-    if (!process.alive || process.frozen) return
+  pause (process: Process, duration: number): void {
+    if (!process.alive || process.paused) return
     this.#trace.note(process.instance, `PAUSE ${duration}`)
-    process.frozen = true
-    this.timeline.after(duration, () => this.wake(process))
+    process.paused = true
+    this.timeline.after(duration, () => this.resume(process))
   }
 
-  wake (process: Process): void {
-    if (!process.frozen) return
+  resume (process: Process): void {
+    if (!process.paused) return
     if (process.alive) this.#drain(process)
-    process.frozen = false
+    process.paused = false
     if (process.alive) this.#tick(process)
   }
 
-  /** What arrives while the queue is worked off stands behind what has waited. */
+  /** Processes what arrived during a pause; what arrives meanwhile is processed after it. */
   #drain (process: Process): void {
     this.#trace.note(process.instance, 'WAKE')
     const tick = this.#ticks.get(process.instance)
@@ -192,7 +193,7 @@
     this.#agentEvent(agent, { type: 'stopOrdered' })
   }
 
-  // Events in
+  // Incoming events
 
   #entryEvent (entry: EntryProcess, event: EntryEvent): void {
     this.#arrive(entry, () => this.#handleEntry(entry, event))
@@ -214,7 +215,7 @@
 
   #arrive (process: Process, handle: () => void): void {
     if (!process.alive) return
-    if (process.frozen) process.inbox.push(handle)
+    if (process.paused) process.inbox.push(handle)
     else handle()
   }
 
@@ -250,9 +251,9 @@
     else this.#entryEvent(entry, { type: 'peerDisconnected', peer: other, refused: false })
   }
 
-  // Parts
+  // Components
 
-  #newDialling (): Dialling {
+  #createDialling (): Dialling {
     return new Dialling({
       timeline: this.timeline,
       chance: this.chance,
@@ -267,12 +268,12 @@
     })
   }
 
-  #newEffects (): Effects {
+  #createEffects (): Effects {
     return new Effects({
       store: this.store,
       targets: this.targets,
       network: this.network,
-      judge: this.judge,
+      checker: this.checker,
       dialling: this.#dialling,
       trace: this.#trace,
       entryEvent: (entry, event) => this.#entryEvent(entry, event),
@@ -281,10 +282,10 @@
     })
   }
 
-  #newCallers (): Callers {
+  #createCallers (): Callers {
     return new Callers({
       timeline: this.timeline,
-      judge: this.judge,
+      checker: this.checker,
       entries: this.entries,
       trace: this.#trace,
       arrive: (entry, handle) => this.#arrive(entry, handle),
@@ -292,7 +293,7 @@
     })
   }
 
-  // Life of processes
+  // Process lifecycle
 
   #newInstance (id: string): Instance {
     const incarnation = (this.#incarnations.get(id) ?? 0) + 1
@@ -300,15 +301,15 @@
     return `${id}#${incarnation}`
   }
 
-  #newProcess (instance: Instance, id: string): Process {
+  #createProcess (instance: Instance, id: string): Process {
     const offset = this.chance.between(0, 1e6)
-    const rate = this.chance.between(1 - CLOCK_RATE, 1 + CLOCK_RATE)
-    const skew = this.chance.between(-WALL_SKEW, WALL_SKEW)
+    const rate = this.chance.between(1 - MAX_CLOCK_RATE_ERROR, 1 + MAX_CLOCK_RATE_ERROR)
+    const skew = this.chance.between(-MAX_WALL_SKEW, MAX_WALL_SKEW)
     return {
       instance,
       id,
       alive: true,
-      frozen: false,
+      paused: false,
       inbox: [],
       wanted: new Set(),
       clock: () => offset + this.timeline.now * rate,
@@ -316,20 +317,20 @@
     }
   }
 
-  #beginTicks (process: Process, tick: () => void): void {
+  #startTimers (process: Process, tick: () => void): void {
     this.#ticks.set(process.instance, tick)
     const next = (): void => {
       if (!process.alive) return
-      if (!process.frozen) this.#tick(process)
-      this.timeline.after(this.chance.between(TICK * 0.8, TICK * 1.2), next)
+      if (!process.paused) this.#tick(process)
+      this.timeline.after(this.chance.between(TICK_INTERVAL * 0.8, TICK_INTERVAL * 1.2), next)
     }
-    this.timeline.after(this.chance.between(0, TICK), next)
+    this.timeline.after(this.chance.between(0, TICK_INTERVAL), next)
     const dial = (): void => {
       if (!process.alive) return
       this.#dialling.dial(process)
-      this.timeline.after(DIAL_PAUSE, dial)
+      this.timeline.after(DIAL_INTERVAL, dial)
     }
-    this.timeline.after(this.chance.between(0, DIAL_PAUSE), dial)
+    this.timeline.after(this.chance.between(0, DIAL_INTERVAL), dial)
   }
 
   #tick (process: Process): void {
@@ -339,7 +340,7 @@
   #end (process: Process): void {
     process.alive = false
     process.inbox = []
-    this.judge.processEnded(process.instance)
+    this.checker.recordProcessEnd(process.instance)
     this.network.ended(process.instance)
   }
 
@@ -350,8 +351,8 @@
     return this.process(instance)?.alive === true ? instance : undefined
   }
 
-  /** Whether some entry has ever said that the system forgot what came before. */
-  #forgotten (): boolean {
+  /** Whether an entry has ever raised its horizon, that is, declared older records lost. */
+  #anyHorizonRaised (): boolean {
     return [...this.entries.values()].some(entry => entry.core.status().horizon > 0)
   }
 }
--- a/packages/coordination/test/claims.test.ts
+++ b/packages/coordination/test/claims.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl'
 import type { EntryEffect, EntryEvent } from '../src/entrytypes.ts'
 import type { AgentToEntry, Job, PeerMessage, TaskResult, Transfer, View } from '../src/messages.ts'
-import { Chance } from '../explore/chance.ts'
+import { SeededRandom } from '../explore/seededrandom.ts'
 import { FakeScheduler } from '../explore/fakescheduler.ts'
 import { DEFAULT_TIMINGS } from '../src/defaults.ts'
 import { Entry } from '../src/entry.ts'
@@ -14,7 +14,7 @@
 const REPORT = { running: 0, queued: 0, credit: 8, leaving: false, viewVersion: 1, configurationVersion: 0 }
 
 /** Chance that lets the scheduler place every task at once. */
-class Steady extends Chance {
+class Steady extends SeededRandom {
   override happens (): boolean {
     return false
   }
--- a/packages/coordination/test/explore.test.ts
+++ b/packages/coordination/test/explore.test.ts
@@ -2,7 +2,9 @@
 import { expect } from 'earl'
 import { search } from '../explore/search.ts'
 
-/** For each guard a seed, and the schedules within which its removal must show. */
+/**
+ * For each guard, a seed and the number of schedules within which switching it off must cause a violation.
+ */
 const GUARDS: Record<string, { seed: number, bound: number }> = {
   claim: { seed: 1, bound: 300 },
   takeover: { seed: 2, bound: 500 },
@@ -22,14 +24,14 @@
   rooted: { seed: 1, bound: 500 }
 }
 
-test('no schedule of faults breaks a promise', () => {
+test('no schedule of faults violates an invariant', () => {
   const found = search({ seed: 11, runs: 2000, shrink: false })
   expect(found.violation).toEqual(undefined)
   expect(found.runs).toEqual(2000)
 })
 
 for (const [guard, { seed, bound }] of Object.entries(GUARDS)) {
-  test(`without the guard "${guard}" some schedule breaks a promise`, () => {
+  test(`without the guard "${guard}" some schedule violates an invariant`, () => {
     const found = search({ seed, runs: bound, broken: guard, shrink: false })
     expect(found.violation === undefined).toEqual(false)
   })
