--- a/packages/coordination/src/entry.ts
+++ b/packages/coordination/src/entry.ts
@@ -184,7 +184,7 @@
 
   #memoryUpdated (now: number): void {
     this.#parts.memory.update(now)
-    this.#parts.router.unpark(now)
+    this.#parts.router.retryParked(now)
     this.#refreshState()
   }
 
--- a/packages/coordination/src/target.ts
+++ b/packages/coordination/src/target.ts
@@ -1,7 +1,7 @@
 /** One target as seen by one entry: what it reported, what is outstanding there, and its health. */
 import type { Instance, TargetDescription, TargetReport, TaskNeeds } from './messages.ts'
 import { TargetHealth, Trust } from './health.ts'
-import { FULL_MILLISECONDS, HANG_MILLISECONDS, HANG_RUNS, REPORT_HALF_LIFE_MILLISECONDS, SLOWNESS_REVIEW_MILLISECONDS } from './schedulingdefaults.ts'
+import { FULL_TARGET_MILLISECONDS, HANG_MILLISECONDS, HANG_RUN_TIMES, REPORT_HALF_LIFE_MILLISECONDS, SLOWNESS_REVIEW_MILLISECONDS } from './schedulingdefaults.ts'
 
 /** One target, reached through one incarnation of its agent. */
 export class Target {
@@ -51,7 +51,7 @@
    * it holds now.
    */
   noteFull (now: number): void {
-    this.#fullUntil = now + FULL_MILLISECONDS
+    this.#fullUntil = now + FULL_TARGET_MILLISECONDS
     this.#outstandingWhenFull = this.outstanding
   }
 
@@ -125,6 +125,6 @@
   }
 
   #unresponsiveAt (): number {
-    return this.#lastActiveAt + Math.max(HANG_MILLISECONDS, HANG_RUNS * this.#work / Math.max(1, this.outstanding))
+    return this.#lastActiveAt + Math.max(HANG_MILLISECONDS, HANG_RUN_TIMES * this.#work / Math.max(1, this.outstanding))
   }
 }
--- a/packages/coordination/src/uncertainanswers.ts
+++ b/packages/coordination/src/uncertainanswers.ts
@@ -1,7 +1,7 @@
 /** Answers "may have run" for cases in which "not run" cannot be proved. */
 import type { Answer } from './messages.ts'
 import { NOT_READY_RETRY_MILLISECONDS } from './defaults.ts'
-import { answerWithout } from './execution.ts'
+import { answerWithoutResults } from './execution.ts'
 import { AnswerKind, Cause } from './messages.ts'
 
 /** Whether the answer states that no submission of the job has run, which requires proof. */
@@ -20,5 +20,5 @@
  */
 export function ownerUnreachable (): Answer {
   const detail = 'the entry that owns this job id could not be reached: submit the same job id again later'
-  return answerWithout(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, detail, NOT_READY_RETRY_MILLISECONDS)
+  return answerWithoutResults(AnswerKind.MayHaveRun, Cause.OwnerUnreachable, detail, NOT_READY_RETRY_MILLISECONDS)
 }
