--- a/packages/dispatch/src/admission.ts
+++ b/packages/dispatch/src/admission.ts
@@ -1,10 +1,10 @@
 /**
- * Whether a job is better refused now than kept.
+ * Decides whether a queued job should be refused early.
  *
- * It answers a load beyond what the fleet can do. A job that cannot be in time any more is refused at once, since a caller can
- * do less with a late word. While others wait, one that could only begin at the last moment is refused as well: estimates are
- * off by 40%, and it would be late in half of the cases with all the work that it used. How early, follows from what is
- * observed: the whole margin under a lasting burst, none while nearly every job is served in time.
+ * Applies when the load exceeds what the fleet can serve. A job that can no longer be in time is refused at once, so
+ * that the caller can still react. While other jobs wait, a job that could only start at the last moment is refused as
+ * well: estimates are off by 40%, so it would be late in half of the cases after using its capacity. How early depends
+ * on recent outcomes: the whole margin under a lasting burst, none while nearly every job is served in time.
  */
 import type { Job, Step } from './job.ts'
 import type { Policy } from './policy.ts'
@@ -25,7 +25,7 @@
     this.#pressure = pressure
   }
 
-  /** A task of the step has run for so long, in milliseconds at an average target. */
+  /** Records the run time of a task of the step, in milliseconds at an average target. */
   learn ({ name, service }: Queue, step: Step, ran: number): void {
     this.#estimates.learn(name, service, step.estimated, ran)
   }
@@ -40,7 +40,7 @@
     return this.#estimates.mean(name, service)
   }
 
-  /** Works out when the job must begin, and until when it is kept while others wait. */
+  /** Computes when the job must start, and until when it is kept while others wait. */
   estimate (job: Job, now: number): void {
     const { queue, steps } = job.request
     job.expected = this.expected(queue, steps)
@@ -54,8 +54,8 @@
     job.keptUntil = this.#keptUntil(job, now)
   }
 
-  /** Why the job is better answered now than kept; `Reason.None` when it is not. */
-  verdict (job: Job, othersWait: boolean, now: number): Reason {
+  /** Returns why the job should be refused now; `Reason.None` if it should be kept. */
+  refusalReason (job: Job, othersWait: boolean, now: number): Reason {
     if (now + job.chain > job.deadline) return Reason.Deadline
     if (now + job.chain > job.overdueAt) return Reason.Overload
     return this.#policy.refusesLate && othersWait && now > this.#keptUntil(job, now) ? Reason.Overload : Reason.None
@@ -63,7 +63,7 @@
 
   #keptUntil (job: Job, now: number): number {
     const { refusalMargin, wholeMarginShare } = this.#policy
-    const part = wholeMarginShare === 0 ? 1 : Math.min(1, this.#pressure.missedShare(now) / wholeMarginShare)
-    return job.startBy - refusalMargin * part * (job.objectiveAt - job.arrivedAt)
+    const fraction = wholeMarginShare === 0 ? 1 : Math.min(1, this.#pressure.missedFraction(now) / wholeMarginShare)
+    return job.startBy - refusalMargin * fraction * (job.objectiveAt - job.arrivedAt)
   }
 }
--- a/packages/dispatch/src/admissioncounts.ts
+++ b/packages/dispatch/src/admissioncounts.ts
@@ -1,33 +1,33 @@
-/** Counts of what became of the jobs of each kind at one entry, for status pages. */
+/** Counts the outcomes of each queue's jobs at one entry, for status pages. */
 import type { Reason } from './entrytypes.ts'
 
-export interface KindCounts {
+export interface QueueCounts {
   offered: number
   admitted: number
-  /** By cause. */
+  /** Refused jobs by cause. */
   refused: Partial<Record<Reason, number>>
   inTime: number
   late: number
 }
 
 export class AdmissionCounts {
-  readonly #kinds = new Map<string, KindCounts>()
+  readonly #queues = new Map<string, QueueCounts>()
 
-  of (kind: string): KindCounts {
-    let counts = this.#kinds.get(kind)
+  of (queue: string): QueueCounts {
+    let counts = this.#queues.get(queue)
     if (counts === undefined) {
       counts = { offered: 0, admitted: 0, refused: {}, inTime: 0, late: 0 }
-      this.#kinds.set(kind, counts)
+      this.#queues.set(queue, counts)
     }
     return counts
   }
 
-  noteRefused (kind: string, cause: Reason): void {
-    const { refused } = this.of(kind)
+  noteRefused (queue: string, cause: Reason): void {
+    const { refused } = this.of(queue)
     refused[cause] = (refused[cause] ?? 0) + 1
   }
 
-  noteAnswered (kind: string, inTime: boolean): void {
-    this.of(kind)[inTime ? 'inTime' : 'late'] += 1
+  noteAnswered (queue: string, inTime: boolean): void {
+    this.of(queue)[inTime ? 'inTime' : 'late'] += 1
   }
 }
--- a/packages/dispatch/src/admissiondefaults.ts
+++ b/packages/dispatch/src/admissiondefaults.ts
@@ -1,89 +1,98 @@
-/** Constants of admission by the whole fleet, and of returns. */
+/** Constants for admission by the whole fleet, and for returns of refused callers. */
 
-/** Time over which the demand is measured: a share that is not wanted any more goes to others within a second. */
+/** Time constant of the demand measurement: a share that is no longer wanted goes to others within a second. */
 export const DEMAND_WINDOW_MILLISECONDS = 300
 
-/** Least and longest time between two messages on demand to another entry. */
+/** Minimum and maximum time between two demand reports to another entry. */
 export const DEMAND_INTERVAL_MILLISECONDS = 200
 export const DEMAND_REPEAT_MILLISECONDS = 1000
 
-/** Change of a figure, in parts of what was told, that is worth a message. */
-export const DEMAND_CHANGE_PART = 0.05
+/** Relative change of a figure since the last report that triggers a new one. */
+export const DEMAND_CHANGE_FRACTION = 0.05
 
-/** Age from which the word of an entry counts no further: its repeat is overdue. */
-export const DEMAND_MEMORY_MILLISECONDS = 1200
+/** Age from which a demand report is ignored: the next one is overdue. */
+export const DEMAND_EXPIRY_MILLISECONDS = 1200
 
-/** Kinds in one message, length of their names, and names that are measured. */
-export const DEMAND_KINDS_TOLD = 32
-export const DEMAND_NAME_LIMIT = 128
-export const DEMAND_NAMES_LIMIT = 256
+/** Maximum queues in one report, length of their names, and number of names measured. */
+export const MAX_QUEUES_PER_REPORT = 32
+export const MAX_DEMAND_NAME_LENGTH = 128
+export const MAX_DEMAND_NAMES = 256
 
-/** Most that an entry may say of one figure, in cores: beyond any fleet. */
-export const DEMAND_LIMIT_CORES = 1_000_000
+/** Maximum accepted value of one reported figure, in cores: beyond any fleet. */
+export const MAX_DEMAND_CORES = 1_000_000
 
 /**
- * How far the word of one entry on one kind is believed, in parts of the capacity; and what entries say to hold, over what
- * the agents say to be in use: an agent's word may be half a second older.
+ * Maximum demand of one queue accepted from one entry, as fractions of the capacity; and maximum ratio of the cores
+ * that entries report as held to those that agents report as used, since an agent's report may be half a second older.
  */
-export const MOST_OFFERED_PART = 3
-export const MOST_WAITING_PART = 0.25
-export const TOLD_OVER_USED = 1.2
+export const MAX_OFFERED_FRACTION = 3
+export const MAX_WAITING_FRACTION = 0.25
+export const MAX_REPORTED_OVER_USED = 1.2
 
-/** How often the shares are worked out, and the change of the capacity at which what waits is judged anew. */
+/** How often the shares are computed, and the relative loss of capacity after which waiting jobs are checked again. */
 export const SHARES_INTERVAL_MILLISECONDS = 20
-export const CAPACITY_LOSS_PART = 0.02
+export const CAPACITY_LOSS_FRACTION = 0.02
 
-/** Cores of newly admitted jobs, in parts of the capacity, for which the shares are worked out sooner. */
-export const STALE_PART = 0.02
+/** Cores of newly admitted jobs, as a fraction of the capacity, after which the shares are computed early. */
+export const STALE_ADMITTED_FRACTION = 0.02
 
-/** Cores wanted at one time, in parts of the capacity, that admission aims at: a short queue keeps every core busy. */
-export const WANTED_PART = 1.1
+/** Cores wanted at one time, as a fraction of the capacity, that admission aims at: a short queue keeps every core busy. */
+export const WANTED_FRACTION = 1.1
 
-/** Cores wanted at one time, in parts of the capacity, at which jobs are first refused: fewer are a wait of some 20 ms. */
-export const CALM_PART = 1.25
+/** Cores wanted at one time, as a fraction of the capacity, at which refusals start: below it the wait is some 20 ms at most. */
+export const REFUSAL_START_FRACTION = 1.25
 
-/** How far the admitted work follows what is missing to that aim, for each part of the capacity. */
+/** Gain with which the admitted work follows the distance to that aim, as a ratio of two fractions of the capacity. */
 export const WANTED_GAIN = 2
 
-/** Demand above the fair share, in parts of it, at which a kind is admitted whole all the same: measured demand swings as much. */
-export const EXCESS_TOLERATED = 0.4
+/**
+ * Demand above the fair share, as a fraction of it, up to which a queue is still admitted whole: measured demand
+ * fluctuates as much.
+ */
+export const TOLERATED_EXCESS = 0.4
 
-/** Time in which the admitted work is trimmed to what keeps the cores busy, and the bounds of the trim, in parts of the capacity. */
+/**
+ * Time in which the trim adapts the admitted work to what keeps the cores busy, and the bounds of the trim, as
+ * fractions of the capacity.
+ */
 export const TRIM_MILLISECONDS = 1000
-export const SMALLEST_TRIM = 0.5
-export const LARGEST_TRIM = 4
+export const MIN_TRIM = 0.5
+export const MAX_TRIM = 4
 
-/** Part of the time that a job can wait which a foreseen wait may take: estimates of work are off by 40%. */
-export const FORESEEN_WAIT_PART = 0.7
+/** Fraction of the time that a job can wait which the expected wait may take: estimates of work are off by 40%. */
+export const EXPECTED_WAIT_FRACTION = 0.7
 
-/** Jobs that may be let through before their turn, until those that arrive first time have made up for them. */
-export const RETURN_DEBT_LIMIT = 32
+/** Maximum jobs admitted ahead of their turn before first arrivals have made up for them. */
+export const MAX_RETURN_DEBT = 32
 
-/** Least time between two notes of one kind that its share is exceeded. */
-export const SHARE_NOTE_MILLISECONDS = 1000
+/** Minimum time between two log lines that one queue's share is exceeded. */
+export const SHARE_LOG_MILLISECONDS = 1000
 
-// Return of refused callers.
+// Returns of refused callers
 
-/** Callers are told whole seconds. */
+/** Callers are asked to return after whole seconds. */
 export const RETRY_STEP_MILLISECONDS = 1000
 
-/** Length of the slots of time in which returns are booked. */
+/** Length of the time slots in which returns are booked. */
 export const RETURN_SLOT_MILLISECONDS = 250
 
-/** Part of the jobs let in that is kept for returns; the rest is left to those that arrive first time. */
+/** Fraction of the admitted jobs that is reserved for returns; the rest is left to first arrivals. */
 export const RETURN_SHARE = 0.5
 
-/** Longest time for which a refused caller is told to stay away. */
-export const LONGEST_RETURN_MILLISECONDS = 10_000
+/** Maximum time that a refused caller is asked to wait. */
+export const MAX_RETURN_MILLISECONDS = 10_000
 
-/** How much sooner and later than told a caller may come and still go first: timers, new connections, a poll of the caller. */
+/**
+ * How much earlier and later than asked a caller may return and still have precedence: timers, new connections, polling
+ * by the caller.
+ */
 export const EARLY_RETURN_MILLISECONDS = 50
 export const LATE_RETURN_MILLISECONDS = 1500
 
-/** Refusals after which a caller goes first though no room was kept for it. */
+/** Refusals after which a caller has precedence even if no capacity was reserved for it. */
 export const REFUSALS_BEFORE_PRECEDENCE = 2
 
-/** Refused callers that are remembered, and told of in one message; length of a job's id. */
-export const RETURNS_REMEMBERED = 10_000
-export const RETURNS_TOLD = 64
-export const RETURN_ID_LIMIT = 64
+/** Maximum expected returns kept, and sent in one report; maximum length of a job's id. */
+export const MAX_RETURNS = 10_000
+export const MAX_RETURNS_PER_REPORT = 64
+export const MAX_RETURN_ID_LENGTH = 64
--- a/packages/dispatch/src/answeredjobs.ts
+++ b/packages/dispatch/src/answeredjobs.ts
@@ -1,4 +1,4 @@
-/** Answers of jobs that have ended, for those who ask again. */
+/** Keeps the answers of ended jobs, for repeated submissions and state requests. */
 import type { Answer } from './entrytypes.ts'
 import { ANSWERS_REMEMBERED } from './defaults.ts'
 
@@ -9,7 +9,7 @@
     return this.#answers.get(id)
   }
 
-  /** Remembers an answer; beyond a bound the oldest is forgotten. */
+  /** Stores an answer; beyond `ANSWERS_REMEMBERED` the oldest is dropped. */
   remember (id: string, answer: Answer): void {
     this.#answers.set(id, answer)
     if (this.#answers.size <= ANSWERS_REMEMBERED) return
--- a/packages/dispatch/src/answers.ts
+++ b/packages/dispatch/src/answers.ts
@@ -1,8 +1,8 @@
-/** Answers that an entry gives without a job. */
+/** Answers that need no job. */
 import type { Answer } from './entrytypes.ts'
 import { AnswerKind, Reason } from './entrytypes.ts'
 
-/** @param retryAfter when to come back, in milliseconds */
+/** @param retryAfter when to submit again, in milliseconds */
 export function refused (reason: Reason, retryAfter: number): Answer {
   return { kind: AnswerKind.Refused, reason, retryAfter }
 }
--- a/packages/dispatch/src/attempts.ts
+++ b/packages/dispatch/src/attempts.ts
@@ -1,11 +1,11 @@
-/** Highest attempts of jobs that an entry began lately: a further submission counts on from them. */
+/** Highest attempt numbers of jobs recently started by an entry. A repeated submission continues from them. */
 import { ANSWERS_REMEMBERED } from './defaults.ts'
 
-/** Tells the starts of one submission from those of the next, whose ends may arrive late. */
+/** Keeps the starts of one submission distinct from those of the next, since ends of the earlier starts may arrive late. */
 export class Attempts {
   readonly #highest = new Map<string, number>()
 
-  /** The highest number of a start of any task of the job; 0 when none is remembered. */
+  /** The highest attempt number of any task of the job; 0 when none is stored. */
   of (job: string): number {
     return this.#highest.get(job) ?? 0
   }
--- a/packages/dispatch/src/capacitydefaults.ts
+++ b/packages/dispatch/src/capacitydefaults.ts
@@ -1,22 +1,22 @@
-/** Constants of targets whose capacity changes or that announce their end. */
+/** Constants for targets that change their capacity or announce that they leave. */
 
-/** Change of the announced end of a target, in milliseconds, of which entries are told: less than the reserve for the way. */
-export const NOTICE_CHANGE_MILLISECONDS = 40
+/** Change of a target's announced end, in milliseconds, that is reported to entries: less than `LEAVING_RESERVE_MILLISECONDS`. */
+export const MIN_NOTICE_CHANGE_MILLISECONDS = 40
 
-/** Ended tasks whose needs an agent remembers, for runs of them that a late answer to a poll lists. */
-export const RUNS_LEFT_REMEMBERED = 512
+/** Maximum ended tasks whose needs an agent keeps, to account for runs of them that a late poll answer still lists. */
+export const MAX_ENDED_RUNS = 512
 
-/** How much longer than estimated a task may take that goes to a leaving target: estimates are off by 40%, some by more. */
+/** Safety factor on the estimate of a task placed at a leaving target: estimates are off by 40%, some by more. */
 export const LEAVING_ESTIMATE_FACTOR = 2
 
-/** Time kept at a leaving target besides, in milliseconds: the way of the start there, and of the poll that lists the end. */
+/** Additional reserve at a leaving target, in milliseconds: the transfer of the start, and the poll that lists the end. */
 export const LEAVING_RESERVE_MILLISECONDS = 60
 
-/** Weight of the newest absence of a target in the mean time that targets are away. */
-export const ABSENCE_RATE = 0.25
+/** Weight of the newest absence in the mean time that targets are away. */
+export const ABSENCE_WEIGHT = 0.25
 
-/** Times ahead for which operators are shown the capacity, in milliseconds: the end of a notice, and the return of a target. */
+/** Forecast times shown to operators, in milliseconds from now: the end of a notice, and the return of a target. */
 export const FORECAST_TIMES_MILLISECONDS: readonly number[] = [1000, 3000]
 
-/** Part of that mean after which a target that is away counts as gone for good. */
-export const OVERDUE_FACTOR = 2
+/** Multiple of that mean after which a target that is away counts as permanently gone. */
+export const OVERDUE_ABSENCE_FACTOR = 2
--- a/packages/dispatch/src/capacityshares.ts
+++ b/packages/dispatch/src/capacityshares.ts
@@ -1,15 +1,15 @@
-/** Division of a capacity among those that want a part of it. */
+/** Weighted max-min fair division of a capacity. */
 
 export interface Claim {
-  /** In any unit, the same for all claims and the capacity. */
+  /** In any unit; the same for all claims and the capacity. */
   demand: number
   /** Above 0. */
   weight: number
 }
 
 /**
- * Weighted max-min fair parts, in the order of the claims: nobody gets more than he wants, and what one leaves goes to the
- * others by their weights. All of the capacity is given away as long as somebody wants it.
+ * Returns weighted max-min fair shares in the order of the claims: none exceeds its demand, and what one claim leaves
+ * is divided among the others by weight. The whole capacity is given out while there is demand for it.
  */
 export function maxMinShares (capacity: number, claims: readonly Claim[]): number[] {
   const shares = claims.map(() => 0)
--- a/packages/dispatch/src/crashdefaults.ts
+++ b/packages/dispatch/src/crashdefaults.ts
@@ -1,36 +1,42 @@
-/** Constants of crash suspects and cancellations. Durations in milliseconds unless the name says otherwise. */
+/** Constants for crash suspects and cancellations. Durations in milliseconds unless the name says otherwise. */
 
-/** How long a crash is remembered against the tasks that were there: a caller comes back with its job while it waits, up to 30 s. */
-export const CRASH_MEMORY_MILLISECONDS = 30_000
+/**
+ * How long a crash counts against the tasks that were on the target: callers retry a job for as long as they wait, up
+ * to 30 s.
+ */
+export const CRASH_RETENTION_MILLISECONDS = 30_000
 
-/** Tasks and lives of its target that an agent remembers, and suspects that an entry does. */
-export const CRASHES_REMEMBERED = 256
-export const SUSPECTS_REMEMBERED = 5000
+/** Maximum crash records, one per task and incarnation of the target, kept by an agent; and suspects kept by an entry. */
+export const MAX_CRASH_RECORDS = 256
+export const MAX_SUSPECTS = 5000
 
-/** Crashes of two targets convict a task that hardly anything ran beside at one of them; after three it is never started. */
-export const CRASHES_BEFORE_CONVICTION = 2
-export const CRASHES_BEFORE_GIVING_UP = 3
-export const CRASH_COMPANIONS = 1
+/**
+ * Crashes that confirm a task as the cause, if at most `MAX_TASKS_BESIDE` others ran beside it at one of the targets;
+ * and crashes after which a task is blocked in any case.
+ */
+export const CRASHES_TO_CONFIRM = 2
+export const CRASHES_TO_BLOCK = 3
+export const MAX_TASKS_BESIDE = 1
 
-/** What placing a suspect on the fullest rather than the emptiest target is worth avoiding: more than any distance or pace. */
-export const SUSPECT_LOAD_MILLISECONDS = 10_000
+/** Cost of placing a suspect on the fullest rather than the emptiest target: above any cost of distance or speed. */
+export const SUSPECT_LOAD_COST_MILLISECONDS = 10_000
 
 /**
- * Targets that go down within this time have one cause when they are so large a part of those known, and at least so many: a
- * rack without power. The agents find out within a poll and its slack, 200 ms.
+ * Targets that crash within this window have a common cause, such as a rack without power, if they are at least this
+ * fraction of the known targets and at least this many. Agents detect a crash within one poll and its slack, 200 ms.
  */
-export const CRASH_WAVE_MILLISECONDS = 250
-export const CRASH_WAVE_PART = 0.1
-export const CRASH_WAVE_LEAST = 3
+export const MASS_LOSS_WINDOW_MILLISECONDS = 250
+export const MASS_LOSS_FRACTION = 0.1
+export const MASS_LOSS_MIN_TARGETS = 3
 
 // Cancellations
 
-/** How long a cancellation is remembered: its caller, or a submission under way, may come back for as long as callers wait, 30 s. */
-export const CANCELLATION_MEMORY_MILLISECONDS = 30_000
-export const CANCELLATIONS_REMEMBERED = 5000
+/** How long a cancellation is remembered: a caller or a delayed submission may arrive for as long as callers wait, 30 s. */
+export const CANCELLATION_RETENTION_MILLISECONDS = 30_000
+export const MAX_CANCELLATIONS = 5000
 
 /**
- * Time for which a run that nobody here asked for may stay listed, while it is ordered to stop with each poll, before the
- * lease ends it at the price of what runs beside it: four stops without an answer.
+ * How long an orphaned run may stay listed while each poll orders it to stop: four stops without an answer. After that
+ * the lease is allowed to expire, which also ends the tasks that run beside it.
  */
-export const STRAY_MILLISECONDS = 400
+export const ORPHANED_RUN_MILLISECONDS = 400
--- a/packages/dispatch/src/crashmemory.ts
+++ b/packages/dispatch/src/crashmemory.ts
@@ -1,6 +1,6 @@
 /** What an agent remembers of the tasks that were on its target when it went down or fell silent. */
 import type { CrashRecord } from './messages.ts'
-import { CRASH_MEMORY_MILLISECONDS, CRASHES_REMEMBERED } from './crashdefaults.ts'
+import { CRASH_RETENTION_MILLISECONDS, MAX_CRASH_RECORDS } from './crashdefaults.ts'
 import { CrashEvidence } from './messages.ts'
 
 interface Remembered {
@@ -56,7 +56,7 @@
     return tasks.map(task => {
       const record = { task, instance, beside: tasks.length - 1, evidence, at: now }
       this.#records.set(keyOf(task, instance), record)
-      if (this.#records.size > CRASHES_REMEMBERED) this.#forgetOldest()
+      if (this.#records.size > MAX_CRASH_RECORDS) this.#forgetOldest()
       return told(record, now)
     })
   }
@@ -74,7 +74,7 @@
   /** Records stand in the order of their times. */
   #forgetOld (now: number): void {
     for (const [key, { at }] of this.#records) {
-      if (now - at < CRASH_MEMORY_MILLISECONDS) return
+      if (now - at < CRASH_RETENTION_MILLISECONDS) return
       this.#records.delete(key)
     }
   }
--- a/packages/dispatch/src/crashreports.ts
+++ b/packages/dispatch/src/crashreports.ts
@@ -4,7 +4,7 @@
 import type { AgentMessage, CrashRecord } from './messages.ts'
 import type { TargetWatch } from './targetwatch.ts'
 import { CrashMemory } from './crashmemory.ts'
-import { CRASHES_BEFORE_CONVICTION } from './crashdefaults.ts'
+import { CRASHES_TO_CONFIRM } from './crashdefaults.ts'
 import { Cause } from './messages.ts'
 import { LifeEnd } from './taskruns.ts'
 
@@ -32,7 +32,7 @@
 
   /** Whether targets have crashed under the task as often as it may be started. */
   bars (task: string, now: number): boolean {
-    return this.#crashes.crashesOf(task, now) >= CRASHES_BEFORE_CONVICTION
+    return this.#crashes.crashesOf(task, now) >= CRASHES_TO_CONFIRM
   }
 
   /** The life is over, or does not answer; gives the cause for which its tasks end. Entries hear of a crash before these ends. */
--- a/packages/dispatch/src/crashsuspects.ts
+++ b/packages/dispatch/src/crashsuspects.ts
@@ -1,33 +1,33 @@
 /**
- * Which tasks an entry suspects of crashing their targets, by what the agents tell.
+ * Tracks which tasks an entry suspects of crashing their targets, from the reports of the agents.
  *
- * When a target goes down, all tasks on it are suspects together. Each is started again alone, so that the next crash names
- * one of them. Two targets that went down under a task convict it only if one of them had hardly anything else on it, and
- * neither went down together with many others.
+ * When a target crashes, every task on it becomes a suspect. Suspects are started apart from each other, so that the
+ * next crash points to one of them. Two crashed targets confirm a task as the cause only if almost nothing else ran on
+ * one of them, and neither crashed together with many others.
  */
 import type { CrashRecord } from './messages.ts'
 import {
-  CRASH_COMPANIONS, CRASH_MEMORY_MILLISECONDS, CRASH_WAVE_LEAST, CRASH_WAVE_MILLISECONDS, CRASH_WAVE_PART,
-  CRASHES_BEFORE_CONVICTION, CRASHES_BEFORE_GIVING_UP, SUSPECTS_REMEMBERED
+  MAX_TASKS_BESIDE, CRASH_RETENTION_MILLISECONDS, MASS_LOSS_MIN_TARGETS, MASS_LOSS_WINDOW_MILLISECONDS, MASS_LOSS_FRACTION,
+  CRASHES_TO_CONFIRM, CRASHES_TO_BLOCK, MAX_SUSPECTS
 } from './crashdefaults.ts'
 import { CrashEvidence } from './messages.ts'
 
 /** How a task may be started. */
 export enum CrashVerdict {
-  /** Like any other. */
+  /** Without restrictions. */
   Free = 'free',
   /** At a target without another suspect. */
   Apart = 'apart',
   /** At a target that takes nothing else meanwhile. */
   Alone = 'alone',
-  /** Not before more is known of the targets that it was on. */
+  /** Not until more is known about the targets that were lost under it. */
   Withheld = 'withheld',
-  /** Never again. */
-  GivenUp = 'givenUp'
+  /** Never again: it is confirmed as the cause of crashes, or was on too many crashed targets. */
+  Blocked = 'givenUp'
 }
 
-/** One life of a target that was lost under a task. */
-interface Loss {
+/** One incarnation of a target that was lost while a task was on it. Logged as evidence. */
+interface TargetLoss {
   beside: number
   evidence: CrashEvidence
   at: number
@@ -35,21 +35,21 @@
 
 /** Figures for status pages. */
 export interface CrashStatus {
-  /** Tasks under which a target was lost lately. */
+  /** Tasks that were on a recently lost target. */
   suspects: number
-  /** Tasks given up since the start of this entry. */
+  /** Tasks blocked since this entry started. */
   convictions: number
-  /** Lives of targets that went down lately. */
+  /** Incarnations of targets that crashed recently. */
   crashes: number
 }
 
 export class CrashSuspects {
-  /** Losses of each task, by agent and life of the target. */
-  readonly #losses = new Map<string, Map<string, Loss>>()
-  /** When each life was lost lately, and what is known of it. */
-  readonly #lives = new Map<string, { at: number, evidence: CrashEvidence }>()
+  /** Losses of each task, by agent and incarnation of the target. */
+  readonly #losses = new Map<string, Map<string, TargetLoss>>()
+  /** Recently lost incarnations: when each was lost, and the evidence. */
+  readonly #lostIncarnations = new Map<string, { at: number, evidence: CrashEvidence }>()
   readonly #targets: () => number
-  #convictions = 0
+  #blockedTasks = 0
 
   /** @param targets number of targets that this entry knows */
   constructor (targets: () => number) {
@@ -57,76 +57,76 @@
   }
 
   status (): CrashStatus {
-    const crashes = [...this.#lives.values()].filter(({ evidence }) => evidence === CrashEvidence.Crashed).length
-    return { suspects: this.#losses.size, convictions: this.#convictions, crashes }
+    const crashes = [...this.#lostIncarnations.values()].filter(({ evidence }) => evidence === CrashEvidence.Crashed).length
+    return { suspects: this.#losses.size, convictions: this.#blockedTasks, crashes }
   }
 
-  /** Takes in what an agent tells of its target; an older word on the same life is replaced. */
+  /** Records an agent's reports on its target; a later report on the same incarnation replaces the earlier one. */
   note (agent: string, records: readonly CrashRecord[], now: number): void {
     for (const { task, instance, beside, evidence, ago } of records) {
       const at = now - ago
-      const life = `${agent}/${instance}`
+      const incarnation = `${agent}/${instance}`
       if (evidence === CrashEvidence.Answered) {
-        this.#lives.delete(life)
-        this.#forget(task, life)
+        this.#lostIncarnations.delete(incarnation)
+        this.#removeLoss(task, incarnation)
         continue
       }
-      this.#lives.set(life, { at: this.#lives.get(life)?.at ?? at, evidence })
-      const losses = this.#losses.get(task) ?? new Map<string, Loss>()
-      const known = losses.get(life)
-      losses.set(life, { beside, evidence, at: known?.at ?? at })
+      this.#lostIncarnations.set(incarnation, { at: this.#lostIncarnations.get(incarnation)?.at ?? at, evidence })
+      const losses = this.#losses.get(task) ?? new Map<string, TargetLoss>()
+      const known = losses.get(incarnation)
+      losses.set(incarnation, { beside, evidence, at: known?.at ?? at })
       this.#losses.set(task, losses)
-      if (this.#losses.size > SUSPECTS_REMEMBERED) this.#forgetOldest()
+      if (this.#losses.size > MAX_SUSPECTS) this.#removeOldest()
     }
   }
 
   verdict (task: string, now: number): CrashVerdict {
     const losses = [...this.#losses.get(task)?.values() ?? []]
     if (losses.length === 0) return CrashVerdict.Free
-    const proven = losses.filter(({ evidence }) => evidence === CrashEvidence.Crashed)
-    if (proven.length >= CRASHES_BEFORE_GIVING_UP) return CrashVerdict.GivenUp
-    if (losses.length >= CRASHES_BEFORE_GIVING_UP) return CrashVerdict.Withheld
-    if (losses.length < CRASHES_BEFORE_CONVICTION) return CrashVerdict.Apart
-    const against = losses.filter(({ at }) => !this.#inWave(at))
-    const named = against.some(({ beside }) => beside <= CRASH_COMPANIONS)
-    if (against.length < CRASHES_BEFORE_CONVICTION || !named) return CrashVerdict.Alone
-    const open = against.some(({ evidence, at }) => evidence === CrashEvidence.Silent || now - at < CRASH_WAVE_MILLISECONDS)
-    return open ? CrashVerdict.Withheld : CrashVerdict.GivenUp
+    const confirmedCrashes = losses.filter(({ evidence }) => evidence === CrashEvidence.Crashed)
+    if (confirmedCrashes.length >= CRASHES_TO_BLOCK) return CrashVerdict.Blocked
+    if (losses.length >= CRASHES_TO_BLOCK) return CrashVerdict.Withheld
+    if (losses.length < CRASHES_TO_CONFIRM) return CrashVerdict.Apart
+    const separateLosses = losses.filter(({ at }) => !this.#isInMassLoss(at))
+    const nearlyAlone = separateLosses.some(({ beside }) => beside <= MAX_TASKS_BESIDE)
+    if (separateLosses.length < CRASHES_TO_CONFIRM || !nearlyAlone) return CrashVerdict.Alone
+    const inconclusive = separateLosses.some(({ evidence, at }) => evidence === CrashEvidence.Silent || now - at < MASS_LOSS_WINDOW_MILLISECONDS)
+    return inconclusive ? CrashVerdict.Withheld : CrashVerdict.Blocked
   }
 
-  /** What is held against a task, for the log. */
-  evidenceOf (task: string): Array<{ life: string } & Loss> {
+  /** Losses recorded against a task, for the log. */
+  evidenceOf (task: string): Array<{ life: string } & TargetLoss> {
     return [...this.#losses.get(task) ?? []].map(([life, loss]) => ({ life, ...loss }))
   }
 
-  noteConviction (): void {
-    this.#convictions += 1
+  noteBlocked (): void {
+    this.#blockedTasks += 1
   }
 
   tick (now: number): void {
-    for (const [life, { at }] of this.#lives) if (now - at >= CRASH_MEMORY_MILLISECONDS) this.#lives.delete(life)
+    for (const [life, { at }] of this.#lostIncarnations) if (now - at >= CRASH_RETENTION_MILLISECONDS) this.#lostIncarnations.delete(life)
     for (const [task, losses] of this.#losses) {
-      for (const [life, { at }] of losses) if (now - at >= CRASH_MEMORY_MILLISECONDS) losses.delete(life)
+      for (const [life, { at }] of losses) if (now - at >= CRASH_RETENTION_MILLISECONDS) losses.delete(life)
       if (losses.size === 0) this.#losses.delete(task)
     }
   }
 
-  /** Whether so many targets went down or fell silent about that time that it had another cause than a task. */
-  #inWave (at: number): boolean {
-    const many = Math.max(CRASH_WAVE_LEAST, CRASH_WAVE_PART * this.#targets())
-    let near = 0
-    for (const other of this.#lives.values()) if (Math.abs(other.at - at) < CRASH_WAVE_MILLISECONDS) near += 1
-    return near >= many
+  /** Whether so many targets crashed or stopped responding at about that time that a task is not the likely cause. */
+  #isInMassLoss (at: number): boolean {
+    const minTargets = Math.max(MASS_LOSS_MIN_TARGETS, MASS_LOSS_FRACTION * this.#targets())
+    let lostTargets = 0
+    for (const other of this.#lostIncarnations.values()) if (Math.abs(other.at - at) < MASS_LOSS_WINDOW_MILLISECONDS) lostTargets += 1
+    return lostTargets >= minTargets
   }
 
-  #forget (task: string, life: string): void {
+  #removeLoss (task: string, incarnation: string): void {
     const losses = this.#losses.get(task)
     if (losses === undefined) return
-    losses.delete(life)
+    losses.delete(incarnation)
     if (losses.size === 0) this.#losses.delete(task)
   }
 
-  #forgetOldest (): void {
+  #removeOldest (): void {
     const oldest = this.#losses.keys().next().value
     if (oldest !== undefined) this.#losses.delete(oldest)
   }
--- a/packages/dispatch/src/demandview.ts
+++ b/packages/dispatch/src/demandview.ts
@@ -1,41 +1,41 @@
-/** What the other entries have told of the demand that they see. */
+/** The demand reported by the other entries. */
 import type { KindDemand, PeerMessage } from './roommessages.ts'
-import { DEMAND_KINDS_TOLD, DEMAND_LIMIT_CORES, DEMAND_MEMORY_MILLISECONDS, DEMAND_NAME_LIMIT } from './admissiondefaults.ts'
+import { MAX_QUEUES_PER_REPORT, MAX_DEMAND_CORES, DEMAND_EXPIRY_MILLISECONDS, MAX_DEMAND_NAME_LENGTH } from './admissiondefaults.ts'
 
 type DemandMessage = Extract<PeerMessage, { type: 'demand' }>
 
-interface Told {
+interface Report {
   at: number
   dataCentre: string
   kinds: readonly KindDemand[]
 }
 
 /**
- * Soft state: the newest word of each entry, for as long as it is fresh. A word that makes no sense is cut down to what
- * may be: a bounded number of kinds, and of each a finite amount of at least 0.
+ * Soft state: the latest report of each entry while it is fresh. Malformed reports are reduced to valid values: a
+ * bounded number of queues, each with finite figures of at least 0.
  */
 export class DemandView {
-  readonly #told = new Map<string, Told>()
+  readonly #reports = new Map<string, Report>()
 
-  heard (peer: string, { dataCentre, kinds }: DemandMessage, now: number): void {
-    const sound = Array.isArray(kinds) ? kinds.slice(0, DEMAND_KINDS_TOLD).filter(isKind).map(bounded) : []
-    this.#told.set(peer, { at: now, dataCentre: nameOf(dataCentre), kinds: sound })
+  receive (peer: string, { dataCentre, kinds }: DemandMessage, now: number): void {
+    const valid = Array.isArray(kinds) ? kinds.slice(0, MAX_QUEUES_PER_REPORT).filter(isQueueDemand).map(bounded) : []
+    this.#reports.set(peer, { at: now, dataCentre: nameOf(dataCentre), kinds: valid })
   }
 
   forget (peer: string): void {
-    this.#told.delete(peer)
+    this.#reports.delete(peer)
   }
 
-  /** What was told lately, with the data centre of the entry that told it. */
+  /** Fresh reports, with the data centre of the entry that sent them. */
   fresh (now: number): Array<KindDemand & { dataCentre: string }> {
-    for (const [peer, { at }] of this.#told) if (now - at > DEMAND_MEMORY_MILLISECONDS) this.#told.delete(peer)
-    return [...this.#told.values()].flatMap(({ dataCentre, kinds }) => kinds.map(kind => ({ ...kind, dataCentre })))
+    for (const [peer, { at }] of this.#reports) if (now - at > DEMAND_EXPIRY_MILLISECONDS) this.#reports.delete(peer)
+    return [...this.#reports.values()].flatMap(({ dataCentre, kinds }) => kinds.map(kind => ({ ...kind, dataCentre })))
   }
 }
 
-function isKind (kind: unknown): kind is KindDemand {
-  if (typeof kind !== 'object' || kind === null) return false
-  const { name, service } = kind as Partial<Record<keyof KindDemand, unknown>>
+function isQueueDemand (value: unknown): value is KindDemand {
+  if (typeof value !== 'object' || value === null) return false
+  const { name, service } = value as Partial<Record<keyof KindDemand, unknown>>
   return isName(name) && isName(service)
 }
 
@@ -44,11 +44,11 @@
 }
 
 function amountOf (value: unknown): number {
-  return typeof value === 'number' && value > 0 ? Math.min(value, DEMAND_LIMIT_CORES) : 0
+  return typeof value === 'number' && value > 0 ? Math.min(value, MAX_DEMAND_CORES) : 0
 }
 
 function isName (value: unknown): value is string {
-  return typeof value === 'string' && value.length <= DEMAND_NAME_LIMIT
+  return typeof value === 'string' && value.length <= MAX_DEMAND_NAME_LENGTH
 }
 
 function nameOf (value: unknown): string {
--- a/packages/dispatch/src/entry.ts
+++ b/packages/dispatch/src/entry.ts
@@ -1,10 +1,9 @@
 /**
- * Decision logic of an entry: takes jobs, places their tasks at targets through the agents, and
- * answers each job once, whole.
+ * Decision logic of an entry: accepts jobs, places their tasks at targets through the agents, and answers each job
+ * exactly once.
  *
- * A job whose caller gets no answer is submitted again by its caller, through any entry. So an
- * entry keeps nothing that must survive it: agents stop the tasks of an entry that is gone before
- * the caller comes back.
+ * A caller that gets no answer submits its job again, through any entry. An entry therefore keeps no durable state:
+ * agents stop the tasks of a lost entry before the caller retries.
  */
 import type { Answer, EntryEffect, EntryEvent, EntryOptions, EntryStatus } from './entrytypes.ts'
 import type { JobRequest } from './job.ts'
@@ -20,7 +19,7 @@
 import { REVIEW_MILLISECONDS } from './defaults.ts'
 import { Pressure } from './pressure.ts'
 import { AnswerKind, Reason } from './entrytypes.ts'
-import { EvacuationNews } from './evacuationnews.ts'
+import { EvacuationUpdates } from './evacuationupdates.ts'
 import { Fleet } from './fleet.ts'
 import { FleetAdmission, rounded } from './fleetadmission.ts'
 import { ALL_FLEET_GUARDS } from './fleetguards.ts'
@@ -44,14 +43,14 @@
   readonly #policy: Policy
   readonly #fleet: Fleet
   readonly #sharing: RoomSharing
-  readonly #evacuations: EvacuationNews
+  readonly #evacuations: EvacuationUpdates
   readonly #admission: Admission
   readonly #intake: Intake
   readonly #pressure = new Pressure()
   readonly #cancellations: Cancellations
   readonly #suspects: CrashSuspects
   readonly #ends: TaskEnds
-  readonly #shares: FleetAdmission | undefined
+  readonly #fleetAdmission: FleetAdmission | undefined
   readonly #returns: Returns | undefined
   readonly #jobs = new Map<string, Job>()
   readonly #byRequest = new Map<number, Job>()
@@ -60,7 +59,7 @@
   readonly #attempts = new Attempts()
   readonly #deadlines = new JobDeadlines()
   #configuration: DispatchConfiguration | undefined
-  /** By when everything must be answered; undefined while no stop is ordered. */
+  /** Time by which every job must be answered; undefined until a stop is ordered. */
   #endsAt: number | undefined
   #reviewedAt = Number.NEGATIVE_INFINITY
   #effects: EntryEffect[] = []
@@ -77,18 +76,18 @@
       this.#evacuations.peerLinked(peer)
       this.#cancellations.peerLinked(peer, now)
       this.#sharing.peerLinked(peer, now)
-      this.#shares?.peerLinked(peer)
+      this.#fleetAdmission?.peerLinked(peer)
     },
     peerUnlinked: ({ peer }, now) => {
       this.#evacuations.peerUnlinked(peer)
       this.#cancellations.peerUnlinked(peer)
       this.#sharing.peerUnlinked(peer, now)
-      this.#shares?.peerUnlinked(peer)
+      this.#fleetAdmission?.peerUnlinked(peer)
     },
     peerMessage: ({ peer, message }, now) => {
-      if (message.type === 'evacuations') this.#evacuations.heard(peer, message.state)
-      else if (message.type === 'cancel') for (const id of this.#cancellations.heard(message.jobs, now)) this.#cancel(id, now)
-      else if (message.type === 'demand') this.#shares?.heard(peer, message, now)
+      if (message.type === 'evacuations') this.#evacuations.receive(peer, message.state)
+      else if (message.type === 'cancel') for (const id of this.#cancellations.receive(message.jobs, now)) this.#cancel(id, now)
+      else if (message.type === 'demand') this.#fleetAdmission?.receive(peer, message, now)
       else this.#sharing.received(peer, message, now)
     },
     evacuationsRead: ({ state }, now) => this.#evacuations.read(state, now),
@@ -99,7 +98,7 @@
       this.#note('stop ordered', { open: this.#jobs.size })
       this.#sharing.stopping(now)
     },
-    ending: (_event, now) => this.#answerAll(now)
+    ending: (_event, now) => this.#answerAllOpenJobs(now)
   }
 
   constructor (options: EntryOptions) {
@@ -112,12 +111,12 @@
       guards: options.guards ?? ALL_FLEET_GUARDS,
       policy: this.#policy,
       emit: effect => this.#effects.push(effect),
-      waiting: () => this.#sharing.choosesItself && this.#waiting(),
+      waiting: () => this.#sharing.choosesItself && this.#hasQueuedJobs(),
       ended: (agent, placement, end, now) => this.#ends.ended(agent, placement, end, now),
       slow: (agent, placement, slow, now) => this.#ends.slow(agent, placement, slow, now),
       crashed: (agent, records, now) => { if (this.#policy.isolatesSuspects) this.#suspects.note(agent, records, now) },
-      opened: agent => this.#evacuations.tellAgent(agent),
-      evacuationsHeard: (agent, state) => this.#evacuations.heardFromAgent(agent, state)
+      opened: agent => this.#evacuations.sendToAgent(agent),
+      evacuationsReceived: (agent, state) => this.#evacuations.receiveFromAgent(agent, state)
     })
     const { cancelMemory: remembers, cancelNews: tells } = options.guards ?? ALL_FLEET_GUARDS
     this.#cancellations = new Cancellations({ remembers, tells, tell: (peer, message) => this.#effects.push({ type: 'tell', peer, message }) })
@@ -129,16 +128,16 @@
       suspects: this.#suspects,
       enqueue: job => this.#enqueue(job),
       close: (job, answer, now) => this.#close(job, answer, now),
-      giveUp: (job, reason, now) => this.#giveUp(job, reason, now),
-      gone: (job, now) => this.#forgetIfGone(job, now),
+      giveUp: (job, reason, now) => this.#abandon(job, reason, now),
+      gone: (job, now) => this.#removeIfStopped(job, now),
       note: (what, fields) => this.#note(what, fields)
     })
     this.#intake = new Intake(this.#fleet, this.#admission)
-    this.#evacuations = new EvacuationNews({ fleet: this.#fleet, emit: effect => this.#effects.push(effect) })
+    this.#evacuations = new EvacuationUpdates({ fleet: this.#fleet, emit: effect => this.#effects.push(effect) })
     if (this.#policy.reservesReturns) this.#returns = new Returns()
     const { dataCentre, weights = [] } = options
-    const parts = { dataCentre, weights, fleet: this.#fleet, queues: this.#queues, admission: this.#admission, returns: this.#returns, emit: (effect: EntryEffect) => this.#effects.push(effect) }
-    if (this.#policy.fleetAdmission) this.#shares = new FleetAdmission(parts)
+    const dependencies = { dataCentre, weights, fleet: this.#fleet, queues: this.#queues, admission: this.#admission, returns: this.#returns, emit: (effect: EntryEffect) => this.#effects.push(effect) }
+    if (this.#policy.fleetAdmission) this.#fleetAdmission = new FleetAdmission(dependencies)
     this.#sharing = new RoomSharing({
       name: options.name,
       dataCentre: options.dataCentre,
@@ -154,11 +153,12 @@
     })
   }
 
-  /** Takes one event in and returns what is to be done for it, in order. */
+  /** Processes one event and returns the resulting effects, in order. */
   handle (event: EntryEvent, now: number): EntryEffect[] {
     this.#effects = []
     const handler = this.#handlers[event.type] as (event: EntryEvent, now: number) => void
-    // An answer that agents bring is given also late; nothing else goes before the deadlines, of which this process may be late to hear.
+    // An agent's message may complete a job whose deadline has just passed, so it is handled before deadlines expire.
+    // For all other events deadlines come first, since this process may handle them late.
     if (event.type !== 'agentMessage') this.#expire(now)
     handler(event, now)
     this.#expire(now)
@@ -167,7 +167,7 @@
     return this.#effects
   }
 
-  #waiting (): boolean {
+  #hasQueuedJobs (): boolean {
     for (const queue of this.#queues.values()) if (queue.size > 0) return true
     return false
   }
@@ -183,13 +183,13 @@
     return { configuration: this.#configuration?.version ?? 0, evacuated: this.#evacuations.known.state?.dataCentres.length ?? 0, agents: this.#fleet.linked, open: this.#jobs.size, queued, cancelled: this.#cancellations.size, ...this.#suspects.status() }
   }
 
-  /** How this entry takes part in sharing the capacity of the fleet. */
+  /** Status of this entry's part in sharing the capacity of the fleet. */
   scheduling (now: number): SchedulingStatus {
     const capacity = this.#fleet.services().map(service => ({ service, ...this.#fleet.capacityStatus(service, now), ahead: this.#fleet.capacityAhead(service, now) }))
-    return { room: this.#sharing.status(), admission: this.#shares?.status(now) ?? [], speeds: this.#fleet.speeds.status(), capacity }
+    return { room: this.#sharing.status(), admission: this.#fleetAdmission?.status(now) ?? [], speeds: this.#fleet.speeds.status(), capacity }
   }
 
-  /** Whether new callers may be sent here. */
+  /** Whether the load balancer may send new callers to this entry. */
   get ready (): boolean {
     return this.#configuration !== undefined && this.#fleet.linked > 0 && this.#endsAt === undefined
   }
@@ -210,7 +210,7 @@
     if (this.#cancellations.has(submitted.id)) return this.#answer(request, CANCELLED)
     const refusal = this.#intake.refusal(submitted, this.#endsAt, now)
     if (refusal !== undefined) return this.#refuse(request, submitted, refusal)
-    const exceeded = known === undefined ? this.#shares?.refusal(submitted, now) : undefined
+    const exceeded = known === undefined ? this.#fleetAdmission?.refusal(submitted, now) : undefined
     if (exceeded !== undefined) {
       return this.#refuse(request, submitted, refused(Reason.Overload, this.#retryAfter(submitted, now)), rounded(exceeded))
     }
@@ -223,11 +223,11 @@
   #refuse (request: number, { id, queue }: JobRequest, refusal: Answer, figures: Record<string, number> = {}): void {
     this.#note('job refused', { job: id, queue: queue.name, reason: refusal.reason, ...figures })
     this.#effects.push({ type: 'jobEnded', queue: queue.name, kind: refusal.kind, reason: refusal.reason, milliseconds: 0, waited: 0 })
-    this.#shares?.noteRefused(queue.name, refusal.reason)
+    this.#fleetAdmission?.noteRefused(queue.name, refusal.reason)
     this.#answer(request, refusal)
   }
 
-  /** The id is submitted again while tasks of its earlier submission are stopping: they must be gone first. */
+  /** Handles a job that is submitted again while tasks of its earlier submission are stopping: it starts once they have ended. */
   #supersede (known: Job, job: Job): void {
     if (known.successor !== undefined) {
       for (const request of known.successor.waiting) this.#attach(request, job)
@@ -261,7 +261,7 @@
     this.#answer(request, known ? CANCELLED : unknown())
   }
 
-  /** Tells whether there was anything to cancel: the job, or its further submission that waits until its tasks have stopped. */
+  /** Returns whether there was anything to cancel: an open job, or a repeated submission that waits for earlier tasks to stop. */
   #cancel (id: string, now: number): boolean {
     const job = this.#jobs.get(id)
     const successor = job?.successor
@@ -287,12 +287,13 @@
     this.#effects.push({ type: 'answer', request, answer })
   }
 
-  /** Ends a job: stops what still runs, and answers everyone who waits. */
+  /** Closes a job: stops its running tasks and answers every waiting caller. */
   #close (job: Job, answer: Answer, now: number): void {
     job.state = JobState.Closed
     this.#queueOf(job).remove(job)
     this.#sharing.forget(job)
-    // Whoever is answered may submit the job again.
+    // Tasks are stopped before callers are answered, since a caller may submit the job again as soon as it has the
+    // answer.
     this.#fleet.stopJob(job)
     if (job.started) this.#attempts.remember(job.request.id, job.lastAttempt)
     for (const request of job.waiting) this.#answer(request, answer)
@@ -300,15 +301,15 @@
     const { id, queue } = job.request
     const milliseconds = now - job.arrivedAt
     const waited = (job.offeredAt ?? now) - job.arrivedAt
-    this.#shares?.noteEnded(queue.name, answer, now <= job.objectiveAt)
+    this.#fleetAdmission?.noteEnded(queue.name, answer, now <= job.objectiveAt)
     if (answer.kind === AnswerKind.Completed && now > job.objectiveAt) this.#pressure.noteLate(now)
     this.#effects.push({ type: 'jobEnded', queue: queue.name, kind: answer.kind, reason: answer.reason, milliseconds, waited })
     this.#note('job ended', { job: id, queue: queue.name, kind: answer.kind, reason: answer.reason, age: Math.round(milliseconds), waited: Math.round(waited), tasks: job.tasks.length, placed: job.placed, chain: Math.round(job.chain), objective: Math.round(job.objectiveAt - job.arrivedAt) })
     if (answer.kind === AnswerKind.Completed || answer.kind === AnswerKind.Failed) this.#answers.remember(id, answer)
-    this.#forgetIfGone(job, now)
+    this.#removeIfStopped(job, now)
   }
 
-  #forgetIfGone (job: Job, now: number): void {
+  #removeIfStopped (job: Job, now: number): void {
     if (job.state !== JobState.Closed || job.placed > 0) return
     if (this.#jobs.get(job.request.id) === job) this.#jobs.delete(job.request.id)
     const { successor } = job
@@ -319,7 +320,7 @@
     for (const request of successor.waiting) this.#answer(request, answered)
   }
 
-  // Order
+  // Queues
 
   #queueOf (job: Job): JobQueue {
     const { service } = job.request.queue
@@ -349,41 +350,44 @@
     this.#cancellations.tick(now)
     this.#evacuations.tick(now)
     this.#sharing.tick(now)
-    this.#shares?.tick(now)
+    this.#fleetAdmission?.tick(now)
   }
 
   #expire (now: number): void {
-    for (const job of this.#deadlines.due(this.#jobs.values(), now)) this.#giveUp(job, Reason.Deadline, now)
+    for (const job of this.#deadlines.due(this.#jobs.values(), now)) this.#abandon(job, Reason.Deadline, now)
   }
 
-  /** Refuses at once what is known not to be served in time; a caller that hears it late can do less with it. */
+  /** Refuses queued jobs that cannot be served in time as soon as this is known, so that callers can still react. */
   #review (now: number): void {
     this.#reviewedAt = now
     for (const [service, queue] of this.#queues) {
-      if (queue.size > 0) this.#giveUpHopeless(queue, now)
-      for (const job of this.#shares?.hopeless(service, now) ?? []) this.#giveUp(job, Reason.Overload, now)
+      if (queue.size > 0) this.#abandonUnservable(queue, now)
+      for (const job of this.#fleetAdmission?.unservable(service, now) ?? []) this.#abandon(job, Reason.Overload, now)
     }
   }
 
-  #giveUpHopeless (queue: JobQueue, now: number): void {
+  #abandonUnservable (queue: JobQueue, now: number): void {
     for (const job of [...queue.jobs()]) {
       if (job.started) continue
-      const evacuated = this.#fleet.evacuatedWhole(job.request.queue.service)
-      const reason = evacuated ? Reason.Evacuated : this.#admission.verdict(job, this.#sharing.isCrowded(job), now)
-      if (reason !== Reason.None) this.#giveUp(job, reason, now)
+      const evacuated = this.#fleet.isFullyEvacuated(job.request.queue.service)
+      const reason = evacuated ? Reason.Evacuated : this.#admission.refusalReason(job, this.#sharing.isCrowded(job), now)
+      if (reason !== Reason.None) this.#abandon(job, reason, now)
     }
   }
 
-  #answerAll (now: number): void {
-    for (const job of [...this.#jobs.values()]) if (job.state === JobState.Open) this.#giveUp(job, Reason.Stopping, now)
+  #answerAllOpenJobs (now: number): void {
+    for (const job of [...this.#jobs.values()]) if (job.state === JobState.Open) this.#abandon(job, Reason.Stopping, now)
   }
 
-  /** A job of which no task was ever placed has provably not run. */
-  #giveUp (job: Job, reason: Reason, now: number): void {
+  /**
+   * Ends a job without completing it. It is refused if none of its tasks was ever placed, since it has then certainly
+   * not run; otherwise it is answered as timed out.
+   */
+  #abandon (job: Job, reason: Reason, now: number): void {
     const { service } = job.request.queue
     const known = this.#fleet.known(service)
     const usable = this.#fleet.usable(service, now)
-    this.#note('job given up', { job: job.request.id, reason, targets: known.length, usable: usable.length, free: usable.filter(agent => agent.hasPlace()).map(agent => Math.round(agent.free.cpu)), needs: job.request.steps[0]?.needs.cpu, queued: this.#queueOf(job).size })
+    this.#note('job given up', { job: job.request.id, reason, targets: known.length, usable: usable.length, free: usable.filter(agent => agent.healthAllowsMore()).map(agent => Math.round(agent.free.cpu)), needs: job.request.steps[0]?.needs.cpu, queued: this.#queueOf(job).size })
     if (job.started) return this.#close(job, { kind: AnswerKind.TimedOut, reason, retryAfter: 0 }, now)
     this.#close(job, refused(reason, this.#retryAfter(job.request, now)), now)
   }
@@ -391,7 +395,7 @@
   #retryAfter ({ id, queue }: JobRequest, now: number): number {
     this.#pressure.noteRefused(now)
     if (this.#returns === undefined) return this.#pressure.retryAfter(id, now)
-    return this.#returns.refused(id, queue.name, this.#shares?.admittedPerSecond(queue.name, now) ?? this.#pressure.begunPerSecond(now), now)
+    return this.#returns.refused(id, queue.name, this.#fleetAdmission?.admittedPerSecond(queue.name, now) ?? this.#pressure.begunPerSecond(now), now)
   }
 
   #note (what: string, fields: Record<string, unknown>): void {
--- a/packages/dispatch/src/entrytypes.ts
+++ b/packages/dispatch/src/entrytypes.ts
@@ -13,15 +13,14 @@
 export enum AnswerKind {
   /** Every task is done. */
   Completed = 'completed',
-  /** A task failed as often as the queue allows. */
+  /** A task failed as often as its queue allows. */
   Failed = 'failed',
-  /** It has not run and never will under this submission. */
+  /** The job has not run, and never will under this submission. */
   Refused = 'refused',
-  /** It was not finished in time; some tasks ran. */
+  /** The job was not finished in time; some of its tasks ran. */
   TimedOut = 'timedOut',
-  /** It was cancelled. */
   Cancelled = 'cancelled',
-  /** It is in progress. */
+  /** At least one task has been started. */
   Running = 'running',
   Pending = 'pending',
   Unknown = 'unknown'
@@ -38,7 +37,7 @@
   Overload = 'overload',
   Deadline = 'deadline',
   TaskFailed = 'taskFailed',
-  /** Targets crash when they run one of its tasks. */
+  /** One of its tasks is confirmed to crash its targets. */
   TaskCrashes = 'taskCrashes',
   Stopping = 'stopping',
   CallerGone = 'callerGone',
@@ -48,7 +47,7 @@
 export interface Answer {
   kind: AnswerKind
   reason: Reason
-  /** When to come back, in milliseconds; 0 when coming back is of no use. */
+  /** When to submit again, in milliseconds; 0 if that is of no use. */
   retryAfter: number
 }
 
@@ -64,11 +63,11 @@
   | { type: 'peerUnlinked', peer: string }
   | { type: 'peerMessage', peer: string, message: PeerMessage }
   | { type: 'configured', configuration: DispatchConfiguration }
-  /** The store was read, and told which data centres are evacuated. */
+  /** The evacuated data centres were read from the store. */
   | { type: 'evacuationsRead', state: EvacuationState }
   | { type: 'tick' }
   | { type: 'stopOrdered' }
-  /** The process ends in a moment: whoever still waits gets a final answer. */
+  /** The process is about to exit: every waiting caller gets a final answer. */
   | { type: 'ending' }
 
 export type EntryEffect =
@@ -76,38 +75,38 @@
   | { type: 'send', agent: string, message: EntryMessage }
   /** A message to another entry. */
   | { type: 'tell', peer: string, message: PeerMessage }
-  /** Breaks the link off, so that it begins anew. */
+  /** Closes the link, so that it is opened again. */
   | { type: 'unlink', agent: string }
-  /** A job has ended: figures for histograms. */
+  /** A job has ended; figures for histograms. */
   | { type: 'jobEnded', queue: string, kind: AnswerKind, reason: Reason, milliseconds: number, waited: number }
-  /** A decision or a change of what is believed, for the log. */
+  /** A decision or a change of state, for the log. */
   | { type: 'note', what: string, fields: Record<string, unknown> }
 
 export interface EntryOptions {
-  /** Name of this entry, by which the others know it. */
+  /** Name of this entry among the entries. */
   name: string
-  /** Speed of its processor against the other entries', in doublings. @default 0 */
+  /** Binary logarithm of this entry's processor speed relative to the other entries. @default 0 */
   strength?: number
   dataCentre: string
   timings: Timings
-  /** After the order to stop, the process ends within this time, in milliseconds. */
+  /** Maximum time from the order to stop until the process exits, in milliseconds. */
   grace: number
-  /** Guards switched off, to show that a proof fails without them. @internal */
+  /** Guards that are enabled. Tests switch single ones off to show that a check fails without them. @internal */
   guards?: FleetGuards
-  /** Mechanisms that are set otherwise than by default. */
+  /** Overrides of the default policy. */
   policy?: Partial<Policy>
-  /** Shares of the queues under contention, by their priority from 0 on; queues beyond the list weigh 1. @default [] */
+  /** Weights of the queues under contention, by priority from 0; priorities beyond the list weigh 1. @default [] */
   weights?: readonly number[]
 }
 
 /** Figures for status pages. */
 export interface EntryStatus extends CrashStatus {
   configuration: number
-  /** Data centres that are evacuated. */
+  /** Number of evacuated data centres. */
   evacuated: number
   agents: number
   open: number
   queued: number
-  /** Cancellations that are remembered. */
+  /** Number of cancellations remembered. */
   cancelled: number
 }
--- a/packages/dispatch/src/evacuations.ts
+++ b/packages/dispatch/src/evacuations.ts
@@ -1,8 +1,8 @@
 /**
- * Which data centres are evacuated: nothing is started there before the operators take that back.
+ * Tracks which data centres are evacuated: nothing is started there until operators revert it.
  *
- * Entries read it from the store, and tell each other and the agents. The revision of the store orders what is heard by
- * several ways, so that nobody goes back to an older state.
+ * Entries read the state from the store, and send it to each other and to the agents. States that arrive by several
+ * ways are ordered by the revision of the store, so that an older one never replaces a newer one.
  */
 
 /** The evacuated data centres as of one revision of the store. */
@@ -15,7 +15,7 @@
   #revision = 0
   #dataCentres: ReadonlySet<string> = new Set()
 
-  /** The newest state that was heard; undefined before the first. */
+  /** The newest state received; undefined before the first. */
   get state (): EvacuationState | undefined {
     return this.#revision === 0 ? undefined : { revision: this.#revision, dataCentres: [...this.#dataCentres] }
   }
@@ -28,7 +28,7 @@
     return dataCentre !== undefined && this.#dataCentres.has(dataCentre)
   }
 
-  /** Takes a state in, unless a newer one is known; tells whether other data centres are evacuated than before. */
+  /** Stores a state unless a newer one is known. Returns whether the set of evacuated data centres changed. */
   learn ({ revision, dataCentres }: EvacuationState): boolean {
     if (revision <= this.#revision) return false
     const first = this.#revision === 0
@@ -38,7 +38,7 @@
     return true
   }
 
-  /** Whether just these data centres are evacuated. */
+  /** Whether exactly these data centres are evacuated. */
   matches (dataCentres: readonly string[]): boolean {
     return dataCentres.length === this.#dataCentres.size && dataCentres.every(dataCentre => this.#dataCentres.has(dataCentre))
   }
--- a/packages/dispatch/src/fleet.ts
+++ b/packages/dispatch/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The agents of one entry: what was placed where, what became of it, and who is still there. */
+/** The agents of one entry: which tasks were placed where, how they ended, and which agents are reachable. */
 import type { CapacityFigures, ForecastStatus } from './capacityforecast.ts'
 import type { EntryEffect } from './entrytypes.ts'
 import type { EvacuationState } from './evacuations.ts'
@@ -29,22 +29,22 @@
 
 export interface FleetOptions {
   timings: Timings
-  /** Of this entry. */
+  /** Data centre of this entry. */
   dataCentre: string
   guards: FleetGuards
   policy: Policy
   emit: (effect: EntryEffect) => void
-  /** Whether tasks wait for room. */
+  /** Whether jobs with tasks to place are queued. */
   waiting: () => boolean
-  /** One start of a task has ended, and nothing of it runs any more. */
-  ended: (agent: AgentView, placement: Placement, end: TaskEnd, now: number) => void
+  /** One start of a task has ended, and none of its processes run any more. */
+  ended: (agent: AgentView, placementOf: Placement, end: TaskEnd, now: number) => void
   slow: (agent: AgentView, placement: Placement, slow: SlowTask, now: number) => void
-  /** An agent has told under which tasks its target was lost. */
+  /** An agent has reported which tasks were running when its target was lost. */
   crashed: (agent: string, records: readonly CrashRecord[], now: number) => void
-  /** A link to an agent is open, and nothing was sent on it yet. */
+  /** A link to an agent has opened, and nothing has been sent on it yet. */
   opened: (agent: string) => void
-  /** An agent has told which data centres are evacuated. */
-  evacuationsHeard: (agent: string, state: EvacuationState) => void
+  /** An agent has sent its state of evacuated data centres. */
+  evacuationsReceived: (agent: string, state: EvacuationState) => void
 }
 
 type Handlers = {
@@ -56,9 +56,9 @@
   readonly #agents = new Map<string, AgentView>()
   readonly #trust: FleetTrust
   readonly speeds: FleetSpeeds
-  readonly farCost: FarCost
+  readonly remoteCost: FarCost
   readonly #forecast = new CapacityForecast()
-  #roleOf: (agent: AgentView) => RoomRole = () => RoomRole.Chooses
+  #roleFor: (agent: AgentView) => RoomRole = () => RoomRole.Chooses
   #evacuated: (dataCentre: string | undefined) => boolean = () => false
 
   readonly #handlers: Handlers = {
@@ -75,7 +75,7 @@
     },
     load: (agent, { load }) => agent.noteLoad(load),
     crashes: ({ name }, { records }, now) => this.#options.crashed(name, records, now),
-    evacuations: ({ name }, { state }) => this.#options.evacuationsHeard(name, state),
+    evacuations: ({ name }, { state }) => this.#options.evacuationsReceived(name, state),
     slow: (agent, { tasks }, now) => {
       for (const slow of tasks) {
         const placement = this.#placement(agent, slow)
@@ -88,7 +88,7 @@
   constructor (options: FleetOptions) {
     this.#options = options
     this.speeds = new FleetSpeeds({ policy: options.policy, note: (what, fields) => this.#note(what, fields) })
-    this.farCost = new FarCost({ penalty: options.policy.farPenalty, agents: () => this.#agents.values() })
+    this.remoteCost = new FarCost({ penalty: options.policy.farPenalty, agents: () => this.#agents.values() })
     this.#trust = new FleetTrust({ policy: options.policy, note: (what, fields) => this.#note(what, fields) })
   }
 
@@ -101,19 +101,19 @@
     return [...this.#agents.values()].filter(agent => agent.linked).map(({ name }) => name)
   }
 
-  /** Nothing is placed in evacuated data centres; what runs there ends as it would. */
+  /** Sets which data centres are evacuated. Nothing new is placed there; running tasks finish normally. */
   setEvacuated (evacuated: (dataCentre: string | undefined) => boolean): void {
     this.#evacuated = evacuated
     for (const agent of this.#agents.values()) agent.evacuated = evacuated(agent.dataCentre)
   }
 
   /** Whether every known target of the service is in an evacuated data centre. */
-  evacuatedWhole (service: string): boolean {
+  isFullyEvacuated (service: string): boolean {
     const known = this.known(service)
     return known.length > 0 && known.every(({ evacuated }) => evacuated)
   }
 
-  /** Agents whose targets take tasks of the service now. */
+  /** Agents at which this entry can place tasks of the service now. */
   usable (service: string, now: number): AgentView[] {
     return [...this.#agents.values()].filter(agent => agent.target?.service === service && agent.usable(now))
   }
@@ -123,62 +123,62 @@
     return [...this.#agents.values()].filter(agent => agent.target?.service === service)
   }
 
-  /** Agents that a start would reach now, whether this entry would place tasks there or not. */
+  /** Agents whose targets can take a start now, including those that this entry avoids. */
   reachable (service: string, now: number): AgentView[] {
     return [...this.#agents.values()].filter(agent => agent.target?.service === service && agent.reachable(now))
   }
 
   /** Agents of the service at which this entry places nothing now. */
   unusable (service: string, now: number): AgentView[] {
-    return [...this.#agents.values()].filter(agent => agent.target?.service === service && !(agent.usable(now) && agent.hasPlace()))
+    return [...this.#agents.values()].filter(agent => agent.target?.service === service && !(agent.usable(now) && agent.healthAllowsMore()))
   }
 
   agent (name: string): AgentView | undefined {
     return this.#agents.get(name)
   }
 
-  /** Agents with tasks of a step, each as often as it has one. */
+  /** Names of the agents that have tasks of a step, once for each task. */
   agentsOf (job: Job, step: number): string[] {
     if (job.placed === 0) return []
     return [...this.#agents.values()].flatMap(({ name, placements }) =>
       [...placements.values()].filter(({ task }) => task.job === job && task.step === step).map(() => name))
   }
 
-  /** Number of targets in each data centre that takes work, also of those that are away for a moment. */
+  /** Number of targets in each data centre that is not evacuated, including targets that are temporarily away. */
   targetsByDataCentre (): Map<string, number> {
     const sizes = new Map<string, number>()
     for (const { dataCentre, evacuated } of this.#agents.values()) if (dataCentre !== undefined && !evacuated) sizes.set(dataCentre, (sizes.get(dataCentre) ?? 0) + 1)
     return sizes
   }
 
-  /** Room of a service now, and `ahead` milliseconds from now. */
+  /** Capacity of a service `ahead` milliseconds from now; 0 for the present. */
   capacityOf (service: string, ahead: number, now: number): CapacityFigures {
     return this.#forecast.at(this.#agents.values(), service, ahead, now)
   }
 
-  /** Services of the targets that are known. */
+  /** Services of all known targets. */
   services (): string[] {
     return [...new Set([...this.#agents.values()].flatMap(({ service }) => service ?? []))]
   }
 
-  /** Processors of a service at some times from now, in thousandths of a core, by milliseconds ahead. */
+  /** Forecast capacity of a service in thousandths of a core, keyed by milliseconds from now. */
   capacityAhead (service: string, now: number): Record<number, number> {
     return Object.fromEntries(FORECAST_TIMES_MILLISECONDS.map(ahead => [ahead, this.capacityOf(service, ahead, now).total]))
   }
 
-  /** Figures on the capacity of a service, for status pages. */
+  /** Capacity figures of a service for status pages. */
   capacityStatus (service: string, now: number): ForecastStatus {
     return this.#forecast.status([...this.#agents.values()], service, now)
   }
 
-  /** Targets that are given out in partitions: those that take work, also when they are away for a moment. */
+  /** Targets that are divided among entries as partitions: those not evacuated, including those temporarily away. */
   partitionTargets (): PartitionTarget[] {
     const targets: PartitionTarget[] = []
     for (const { name, service, dataCentre, evacuated } of this.#agents.values()) if (dataCentre !== undefined && service !== undefined && !evacuated) targets.push({ name, service, dataCentre })
     return targets
   }
 
-  /** Free processors at some of the targets, in thousandths of a core. */
+  /** Free processors at the selected targets, in thousandths of a core. */
   freeCpu (within: (agent: AgentView) => boolean): number {
     let sum = 0
     for (const agent of this.#agents.values()) if (agent.linked && agent.target?.leaving === false && !agent.evacuated && within(agent)) sum += Math.max(0, agent.free.cpu)
@@ -189,17 +189,18 @@
     return this.#options.guards
   }
 
-  /** Tells the agents how this entry comes to the room of their targets. */
+  /** Sets how this entry obtains capacity at each target, and sends each agent its role. */
   setRoles (roleOf: (agent: AgentView) => RoomRole): void {
-    this.#roleOf = roleOf
-    for (const agent of this.#agents.values()) this.#tellRole(agent)
+    this.#roleFor = roleOf
+    for (const agent of this.#agents.values()) this.#sendRole(agent)
   }
 
-  #tellRole (agent: AgentView): void {
-    const role = agent.dataCentre === undefined ? RoomRole.Chooses : this.#roleOf(agent)
+  #sendRole (agent: AgentView): void {
+    const role = agent.dataCentre === undefined ? RoomRole.Chooses : this.#roleFor(agent)
     if (!agent.linked || agent.role === role) return
     agent.role = role
-    // Its answer to the new role tells its load, which a quiet link has not told for long.
+    // The agent replies to the new role with its load, which may be out of date on a link that is pinged rarely. Until
+    // then the target counts as full.
     if (this.#options.policy.partitions && role !== RoomRole.Asks) agent.noteFull()
     this.#options.emit({ type: 'send', agent: agent.name, message: { type: 'role', role } })
   }
@@ -239,17 +240,17 @@
     if (agent === undefined || !agent.linked) return
     agent.heardAt = now
     const handler = this.#handlers[message.type] as ((agent: AgentView, message: AgentMessage, now: number) => void) | undefined
-    // While builds are mixed, an agent may speak of what this entry does not know.
+    // During a rolling upgrade an agent may send message types that this entry does not support.
     if (handler === undefined) return this.#note('message of an unknown kind ignored', { agent: name, type: message.type })
     handler(agent, message, now)
   }
 
-  /** Takes the room for a task; `send` then has it started. */
+  /** Reserves capacity for a task; `send` then starts it. */
   reserve (agent: AgentView, { task, needs, expected }: PlannedStart, now: number): void {
     agent.add({ task, attempt: task.attempt, incarnation: agent.incarnation, needs, expected, placedAt: now, stopping: false })
   }
 
-  /** Sends tasks of one job to a target. */
+  /** Sends the starts of a job's tasks to a target. */
   send (agent: AgentView, job: Job, starts: readonly PlannedStart[], now: number): void {
     const tasks = starts.map(({ task, needs, expected }) =>
       ({ task: task.name, attempt: task.attempt, needs, expected: Math.round(expected), ...(task.isolation === Isolation.None ? {} : { isolation: task.isolation }) }))
@@ -258,7 +259,7 @@
     this.#options.emit({ type: 'send', agent: agent.name, message: echo === undefined ? message : { ...message, echo } })
   }
 
-  /** Orders the tasks of a job to stop, wherever they are. */
+  /** Stops all tasks of a job. */
   stopJob (job: Job): void {
     if (job.placed === 0) return
     for (const agent of this.#agents.values()) {
@@ -280,41 +281,44 @@
       this.#trust.probeIfDue(agent, now)
       agent.expireGrants(now)
       if (agent.linked && now - agent.echoedAt >= ping) this.#echo(agent, now)
-      if (agent.linked && agent.silentFor(now) >= agent.deadAfter(contact)) {
+      if (agent.linked && agent.timeWithoutContact(now) >= agent.contactTimeout(contact)) {
         this.#note('agent silent', { agent: agent.name, placed: agent.placements.size })
         agent.linked = false
         this.#forecast.note(agent, now)
         this.#options.emit({ type: 'unlink', agent: agent.name })
       }
-      if (!agent.linked && agent.placements.size === 0 && now - agent.heardAt >= AGENT_MEMORY_MILLISECONDS) this.#forget(agent)
-      this.#endPredecessors(agent, now)
+      if (!agent.linked && agent.placements.size === 0 && now - agent.heardAt >= AGENT_MEMORY_MILLISECONDS) this.#removeAgent(agent)
+      this.#endTasksOfEarlierIncarnation(agent, now)
       if (agent.linked || (this.#options.guards.silence && now < agent.echoedAt + silence)) continue
-      this.#endSilent(agent, [...agent.placements.values()], agent.echoedAt, now)
+      this.#endUnresponsive(agent, [...agent.placements.values()], agent.echoedAt, now)
     }
   }
 
-  /** What a run of the agent that is over had started has lapsed, also while its successor finds no target. */
-  #endPredecessors (agent: AgentView, now: number): void {
+  /**
+   * Ends the tasks of an earlier incarnation of the agent after `silence`, also while the new incarnation has not found
+   * a target.
+   */
+  #endTasksOfEarlierIncarnation (agent: AgentView, now: number): void {
     const { predecessorEchoedAt: echoedAt, incarnation } = agent
     if (echoedAt === undefined || now < echoedAt + this.#options.timings.silence) return
     agent.predecessorEchoedAt = undefined
-    this.#endSilent(agent, [...agent.placements.values()].filter(placement => placement.incarnation !== incarnation), echoedAt, now)
+    this.#endUnresponsive(agent, [...agent.placements.values()].filter(placement => placement.incarnation !== incarnation), echoedAt, now)
   }
 
-  #endSilent (agent: AgentView, placements: readonly Placement[], echoedAt: number, now: number): void {
+  #endUnresponsive (agent: AgentView, placements: readonly Placement[], echoedAt: number, now: number): void {
     if (placements.length === 0) return
     this.#note('tasks of a silent agent ended', { agent: agent.name, tasks: placements.length, echoedAgo: Math.round(now - echoedAt) })
-    for (const placement of placements) this.#gone(agent, placement, Cause.Lapsed, now)
+    for (const placement of placements) this.#endAsGone(agent, placement, Cause.Lapsed, now)
   }
 
-  #forget (agent: AgentView): void {
+  #removeAgent (agent: AgentView): void {
     this.#agents.delete(agent.name)
     this.#trust.remove(agent)
     this.#forecast.forget(agent)
-    this.#note('agent forgotten', { agent: agent.name, instance: agent.target?.instance })
+    this.#note('agent removed', { agent: agent.name, instance: agent.target?.instance })
   }
 
-  /** Answers what the agent sent last, unless that is answered already, or the agent has yet to get stops again. */
+  /** Echoes the agent's last clock reading, unless it was echoed already or the agent must first get stops again. */
   #echo (agent: AgentView, now: number): void {
     const echo = this.#takeEcho(agent, now)
     if (echo !== undefined) this.#options.emit({ type: 'send', agent: agent.name, message: { type: 'echo', ...echo } })
@@ -332,55 +336,56 @@
     const { target, held, load } = message
     const opening = !agent.announced
     agent.announced = true
-    if (target !== undefined && target.instance !== agent.target?.instance) this.#trust.renew(agent)
+    if (target !== undefined && target.instance !== agent.target?.instance) this.#trust.reset(agent)
     agent.noteTarget(target, this.#options.policy.usesLeaving ? now + (target?.remaining ?? -Infinity) : undefined)
     agent.evacuated = this.#evacuated(agent.dataCentre)
     agent.noteLoad(load)
     this.#forecast.note(agent, now)
-    this.#tellRole(agent)
+    this.#sendRole(agent)
     this.#note('target announced', { agent: agent.name, instance: target?.instance, leaving: target?.leaving, held: held.length })
-    if (opening && this.#options.guards.stopAgain) this.#stopAgain(agent)
+    if (opening && this.#options.guards.stopAgain) this.#resendStops(agent)
     if (opening) this.#echo(agent, now)
     const names = new Set(held.map(({ task, attempt }) => `${task}/${attempt}`))
     for (const placement of [...agent.placements.values()]) {
-      // A new run of the agent announces a target once its predecessor's tasks have ended there.
+      // A new incarnation of the agent announces a target only after the tasks of the earlier incarnation have ended
+      // there.
       const replaced = placement.incarnation !== agent.incarnation
-      const certain = replaced ? target !== undefined || !this.#options.guards.cleared : opening && !names.has(`${placement.task.name}/${placement.attempt}`)
-      if (certain) this.#gone(agent, placement, Cause.TargetLost, now)
+      const hasEnded = replaced ? target !== undefined || !this.#options.guards.cleared : opening && !names.has(`${placement.task.name}/${placement.attempt}`)
+      if (hasEnded) this.#endAsGone(agent, placement, Cause.TargetLost, now)
     }
   }
 
-  /** The link before may have been lost with the stops on it. */
-  #stopAgain (agent: AgentView): void {
+  /** Sends the stops of the current incarnation's tasks again, since the previous link may have lost them. */
+  #resendStops (agent: AgentView): void {
     const tasks = [...agent.placements.values()].filter(({ stopping, incarnation }) => stopping && incarnation === agent.incarnation)
     if (tasks.length > 0) this.#options.emit({ type: 'send', agent: agent.name, message: { type: 'stop', tasks: tasks.map(({ task, attempt }) => ({ task: task.name, attempt })) } })
   }
 
-  #gone (agent: AgentView, { task, attempt }: Placement, cause: Cause, now: number): void {
-    this.#settle(agent, { task: task.name, attempt, outcome: Outcome.Gone, cause, ran: 0 }, now)
+  #endAsGone (agent: AgentView, { task, attempt }: Placement, cause: Cause, now: number): void {
+    this.#endPlacement(agent, { task: task.name, attempt, outcome: Outcome.Gone, cause, ran: 0 }, now)
   }
 
   #ended (agent: AgentView, number: number, end: TaskEnd, now: number): void {
     if (number <= agent.received) return
     agent.received = number
-    this.#settle(agent, end, now)
+    this.#endPlacement(agent, end, now)
   }
 
-  #settle (agent: AgentView, end: TaskEnd, now: number): void {
+  #endPlacement (agent: AgentView, end: TaskEnd, now: number): void {
     const placement = this.#placement(agent, end)
     if (placement === undefined) return
     agent.remove(placement)
-    this.#trust.judge(agent, placement, end, now)
-    if (end.outcome === Outcome.Done) this.#ran(agent, placement, end.ran, now)
+    this.#trust.recordEnd(agent, placement, end, now)
+    if (end.outcome === Outcome.Done) this.#recordRun(agent, placement, end.ran, now)
     this.#options.ended(agent, placement, end, now)
   }
 
-  #ran (agent: AgentView, { task, placedAt }: Placement, ran: number, now: number): void {
+  #recordRun (agent: AgentView, { task, placedAt }: Placement, ran: number, now: number): void {
     this.speeds.noteRun(agent, task.job.request.steps[task.step]?.estimated ?? 0, ran)
-    this.farCost.noteRun(agent.dataCentre === this.#options.dataCentre, now - placedAt - ran)
+    this.remoteCost.noteRun(agent.dataCentre === this.#options.dataCentre, now - placedAt - ran)
   }
 
-  /** A task that stood still there speaks against the target as a failed one does. */
+  /** Counts a task that made no progress as a failure of its target. */
   noteStuck (agent: AgentView, now: number): void {
     this.#trust.noteStuck(agent, now)
   }
--- a/packages/dispatch/src/fleetadmission.ts
+++ b/packages/dispatch/src/fleetadmission.ts
@@ -1,12 +1,12 @@
 /**
  * Admission by the demand and the capacity of the whole fleet.
  *
- * Each entry tells the others what its callers want, and works out the same shares from the same figures: a part of each
- * kind's jobs is admitted, at every entry the same, and the others are refused as they arrive. The sum of what is admitted
- * follows the cores that are wanted at one time: while some are free more is admitted, while too much waits less.
+ * Each entry sends the others the demand of its callers, and computes the same shares from the same figures: every
+ * entry admits the same fraction of each queue's jobs and refuses the others on arrival. The admitted total follows the
+ * cores wanted at one time: more is admitted while some are free, less while too much waits.
  */
 import type { Admission } from './admission.ts'
-import type { KindCounts } from './admissioncounts.ts'
+import type { QueueCounts } from './admissioncounts.ts'
 import type { Answer, EntryEffect, Reason } from './entrytypes.ts'
 import type { Fleet } from './fleet.ts'
 import type { AgentView } from './fleetview.ts'
@@ -15,14 +15,14 @@
 import type { Queue } from './queues.ts'
 import type { Returns } from './returns.ts'
 import type { KindDemand, PeerMessage } from './roommessages.ts'
-import type { KindShare, ServiceRoom } from './shareplan.ts'
+import type { QueueShare, ServiceCapacity } from './shareplan.ts'
 import { AdmissionCounts } from './admissioncounts.ts'
 import {
-  CAPACITY_LOSS_PART, DEMAND_NAMES_LIMIT, FORESEEN_WAIT_PART, MOST_OFFERED_PART, MOST_WAITING_PART,
-  SHARE_NOTE_MILLISECONDS, SHARES_INTERVAL_MILLISECONDS, STALE_PART, TOLD_OVER_USED
+  CAPACITY_LOSS_FRACTION, MAX_DEMAND_NAMES, EXPECTED_WAIT_FRACTION, MAX_OFFERED_FRACTION, MAX_WAITING_FRACTION,
+  SHARE_LOG_MILLISECONDS, SHARES_INTERVAL_MILLISECONDS, STALE_ADMITTED_FRACTION, MAX_REPORTED_OVER_USED
 } from './admissiondefaults.ts'
 import { DemandMeter } from './demandmeter.ts'
-import { DemandTelling } from './demandtelling.ts'
+import { DemandReports } from './demandreports.ts'
 import { DemandView } from './demandview.ts'
 import { AnswerKind } from './entrytypes.ts'
 import { longestChain } from './job.ts'
@@ -30,17 +30,17 @@
 import { coresOf, coresWaiting, coresWanted, demandOf, turnoverOf, workOf } from './owndemand.ts'
 import { Arrival } from './returns.ts'
 import { ShareGate } from './sharegate.ts'
-import { planShares, sumByKind, trimAfter } from './shareplan.ts'
+import { planShares, sumByQueue, trimAfter } from './shareplan.ts'
 
-export interface FleetAdmissionParts {
+export interface FleetAdmissionDependencies {
   dataCentre: string
-  /** Weights of the queues by their priority; those beyond the list weigh 1. */
+  /** Weights of the queues by their priority; priorities beyond the list weigh 1. */
   weights: readonly number[]
   fleet: Pick<Fleet, 'reachable'>
-  /** Own jobs with tasks to place, by service. */
+  /** This entry's jobs with tasks to place, by service. */
   queues: ReadonlyMap<string, JobQueue>
   admission: Pick<Admission, 'expected' | 'meanRun'>
-  /** Refused callers that come back; undefined where their returns are not reserved. */
+  /** Expected returns of refused callers; undefined if returns are not reserved. */
   returns: Returns | undefined
   emit: (effect: EntryEffect) => void
 }
@@ -49,82 +49,82 @@
 
 /** The figures behind a refusal. */
 export interface ShareRefusal {
-  /** Cores of work of the kind that are admitted each second, and that arrive. */
+  /** Work of the queue admitted each second, and work that arrives each second, in cores. */
   share: number
   offered: number
-  /** Part of the kind's jobs that are admitted. */
+  /** Fraction of the queue's jobs that is admitted. */
   threshold: number
   capacity: number
   wanted: number
-  /** How long the job would wait, in milliseconds. */
+  /** Expected wait of the job, in milliseconds. */
   wait: number
 }
 
-/** A kind of job as operators see it. Work in cores. */
-export interface AdmissionStatus extends KindShare {
-  counts: KindCounts
-  /** Of the own callers and of those of the other entries, by their data centres. */
+/** The admission figures of one queue for operators. Work in cores. */
+export interface AdmissionStatus extends QueueShare {
+  counts: QueueCounts
+  /** Demand of the callers of all entries, by the data centre of the entry. */
   dataCentres: Record<string, { offered: number, running: number, waiting: number }>
 }
 
-/** Shares in one service, as last worked out. */
-interface ServiceState extends ServiceRoom {
+/** The shares in one service as last computed. */
+interface ServiceState extends ServiceCapacity {
   at: number
   own: readonly KindDemand[]
-  shares: ReadonlyMap<string, KindShare>
-  /** Cores that come free in a millisecond; 0 when not known. */
-  freeing: number
-  /** Cores that all entries' tasks wait for, and this entry's. */
+  shares: ReadonlyMap<string, QueueShare>
+  /** Cores released each millisecond; 0 when not known. */
+  releaseRate: number
+  /** Cores that tasks of all entries wait for, and those that tasks of this entry wait for. */
   waiting: number
   ownWaiting: number
-  /** Cores of the jobs that were admitted since. */
+  /** Cores of the jobs admitted since then. */
   admitted: number
-  /** The capacity has fallen, or become known, since waiting jobs were judged last. */
-  fell: boolean
+  /** Whether the capacity has fallen, or become known, since waiting jobs were last checked. */
+  capacityFell: boolean
 }
 
 export class FleetAdmission {
-  readonly #parts: FleetAdmissionParts
+  readonly #dependencies: FleetAdmissionDependencies
   readonly #offered = new DemandMeter()
   readonly #admitted = new DemandMeter()
   readonly #keys = new KeyShares()
   readonly #view = new DemandView()
-  readonly #telling: DemandTelling
+  readonly #reports: DemandReports
   readonly #counts = new AdmissionCounts()
   readonly #queues = new Map<string, Queue>()
   readonly #gates = new Map<string, ShareGate>()
   readonly #services = new Map<string, ServiceState>()
-  readonly #notedAt = new Map<string, number>()
+  readonly #loggedAt = new Map<string, number>()
 
-  constructor (parts: FleetAdmissionParts) {
-    this.#parts = parts
-    this.#telling = new DemandTelling(parts.dataCentre, parts.emit)
+  constructor (dependencies: FleetAdmissionDependencies) {
+    this.#dependencies = dependencies
+    this.#reports = new DemandReports(dependencies.dataCentre, dependencies.emit)
   }
 
   peerLinked (peer: string): void {
-    this.#telling.add(peer)
+    this.#reports.add(peer)
   }
 
   peerUnlinked (peer: string): void {
-    this.#telling.remove(peer)
+    this.#reports.remove(peer)
     this.#view.forget(peer)
   }
 
-  heard (peer: string, message: Extract<PeerMessage, { type: 'demand' }>, now: number): void {
-    this.#view.heard(peer, message, now)
-    this.#parts.returns?.heard(message.returns, now)
+  receive (peer: string, message: Extract<PeerMessage, { type: 'demand' }>, now: number): void {
+    this.#view.receive(peer, message, now)
+    this.#dependencies.returns?.receive(message.returns, now)
   }
 
   tick (now: number): void {
     const services = new Set([...this.#queues.values()].map(({ service }) => service))
     for (const service of services) this.#refresh(service, now)
-    this.#telling.tick([...this.#services.values()].flatMap(({ own }) => own), this.#parts.returns, now)
+    this.#reports.tick([...this.#services.values()].flatMap(({ own }) => own), this.#dependencies.returns, now)
   }
 
-  /** A job arrives: why it is not admitted, or undefined when it is. */
+  /** Returns the figures behind the refusal of an arriving job, or undefined if it is admitted. */
   refusal (request: JobRequest, now: number): ShareRefusal | undefined {
     const { queue, steps } = request
-    const expected = this.#parts.admission.expected(queue, steps)
+    const expected = this.#dependencies.admission.expected(queue, steps)
     const work = workOf(request, expected)
     const key = keyOf(request)
     this.#queues.set(queue.name, queue)
@@ -135,84 +135,84 @@
     const share = state.shares.get(queue.name)
     const chain = longestChain(steps, expected)
     const slack = Math.min(queue.slackFactor * chain + queue.latency, request.remaining) - chain
-    const wait = this.#foreseenWait(state, this.#coresBefore(queue.service, now + slack))
-    const part = share === undefined ? 1 : this.#keys.part(queue.name, key, share.threshold, now)
-    const arrival = this.#parts.returns?.arrival(request.id, now) ?? Arrival.First
-    const bearable = arrival === Arrival.AsTold ? slack : slack * FORESEEN_WAIT_PART
+    const wait = this.#expectedWait(state, this.#coresBefore(queue.service, now + slack))
+    const fraction = share === undefined ? 1 : this.#keys.part(queue.name, key, share.threshold, now)
+    const arrival = this.#dependencies.returns?.arrival(request.id, now) ?? Arrival.First
+    const maxWait = arrival === Arrival.OnTime ? slack : slack * EXPECTED_WAIT_FRACTION
     const gate = this.#gateOf(`${queue.name}/${key}`)
-    if (state.capacity === 0 || (wait <= bearable && passes(gate, part, arrival))) {
+    if (state.capacity === 0 || (wait <= maxWait && gateAdmits(gate, fraction, arrival))) {
       if (state.capacity > 0) this.#admitted.note(queue.name, MILLISECONDS_PER_SECOND, now)
-      this.#parts.returns?.served(request.id)
+      this.#dependencies.returns?.served(request.id)
       this.#counts.of(queue.name).admitted += 1
       state.admitted += coresWanted(request)
       return undefined
     }
-    if (wait > bearable && arrival === Arrival.AsTold) gate.owe()
-    const refusal = { share: share?.share ?? 0, offered: share?.offered ?? 0, threshold: part, capacity: state.capacity, wanted: state.wanted, wait }
-    this.#noteExceeded(queue.name, refusal, now)
+    if (wait > maxWait && arrival === Arrival.OnTime) gate.owe()
+    const refusal = { share: share?.share ?? 0, offered: share?.offered ?? 0, threshold: fraction, capacity: state.capacity, wanted: state.wanted, wait }
+    this.#logExceeded(queue.name, refusal, now)
     return refusal
   }
 
-  /** Jobs of the queue that are admitted here each second. */
+  /** Jobs of the queue admitted here each second. */
   admittedPerSecond (queue: string, now: number): number {
     return this.#admitted.rate(queue, now)
   }
 
-  /** After a loss of capacity: jobs that wait and can't be in time any more. */
-  hopeless (service: string, now: number): Job[] {
+  /** Returns the waiting jobs that can no longer be in time after a loss of capacity. */
+  unservable (service: string, now: number): Job[] {
     const state = this.#services.get(service)
-    if (state?.fell !== true) return []
-    state.fell = false
-    const jobs = [...this.#parts.queues.get(service)?.jobs() ?? []].sort((one, other) => one.startBy - other.startBy)
-    const hopeless: Job[] = []
-    let before = 0
+    if (state?.capacityFell !== true) return []
+    state.capacityFell = false
+    const jobs = [...this.#dependencies.queues.get(service)?.jobs() ?? []].sort((one, other) => one.startBy - other.startBy)
+    const unservable: Job[] = []
+    let coresAhead = 0
     for (const job of jobs) {
-      const cores = before + coresWaiting(job)
-      if (!job.started && now + this.#foreseenWait(state, cores) > job.startBy) hopeless.push(job)
-      else before = cores
+      const cores = coresAhead + coresWaiting(job)
+      if (!job.started && now + this.#expectedWait(state, cores) > job.startBy) unservable.push(job)
+      else coresAhead = cores
     }
-    return hopeless
+    return unservable
   }
 
-  noteRefused (kind: string, cause: Reason): void {
-    this.#counts.noteRefused(kind, cause)
+  noteRefused (queue: string, cause: Reason): void {
+    this.#counts.noteRefused(queue, cause)
   }
 
-  /** A job that was admitted is answered. */
+  /** Counts the answer to an admitted job. */
   noteEnded (queue: string, { kind, reason }: Answer, inTime: boolean): void {
     if (kind === AnswerKind.Completed) this.#counts.noteAnswered(queue, inTime)
     if (kind === AnswerKind.Refused) this.#counts.noteRefused(queue, reason)
   }
 
   status (now: number): AdmissionStatus[] {
-    const told = this.#view.fresh(now)
+    const reported = this.#view.fresh(now)
     return [...this.#services.values()].flatMap(({ shares, own }) => [...shares.values()].map(share => {
-      const parts = [...own.map(kind => ({ ...kind, dataCentre: this.#parts.dataCentre })), ...told]
-      return { ...share, counts: this.#counts.of(share.name), dataCentres: byDataCentre(parts.filter(({ name }) => name === share.name)) }
+      const demands = [...own.map(kind => ({ ...kind, dataCentre: this.#dependencies.dataCentre })), ...reported]
+      return { ...share, counts: this.#counts.of(share.name), dataCentres: byDataCentre(demands.filter(({ name }) => name === share.name)) }
     }))
   }
 
   #refresh (service: string, now: number): ServiceState {
     const known = this.#services.get(service)
-    if (known !== undefined && now - known.at < SHARES_INTERVAL_MILLISECONDS && known.admitted <= known.capacity * STALE_PART) return known
-    const state = this.#workOut(service, known, now)
+    if (known !== undefined && now - known.at < SHARES_INTERVAL_MILLISECONDS && known.admitted <= known.capacity * STALE_ADMITTED_FRACTION) return known
+    const state = this.#compute(service, known, now)
     this.#services.set(service, state)
     return state
   }
 
-  #workOut (service: string, before: ServiceState | undefined, now: number): ServiceState {
-    const agents: readonly AgentView[] = this.#parts.fleet.reachable(service, now)
+  #compute (service: string, before: ServiceState | undefined, now: number): ServiceState {
+    const agents: readonly AgentView[] = this.#dependencies.fleet.reachable(service, now)
     const { capacity, used } = coresOf(agents)
     const queues = [...this.#queues.values()].filter(queue => queue.service === service)
-    const own = demandOf(queues, this.#offered, agents, this.#parts.queues.get(service), now)
-    const told = this.#view.fresh(now).filter(kind => kind.service === service).map(kind => plausible(kind, capacity))
-    const kinds = sumByKind([...own, ...told])
-    const waiting = total(kinds, 'waiting')
-    const wanted = Math.max(used, Math.min(total(kinds, 'running'), used * TOLD_OVER_USED)) + waiting
+    const own = demandOf(queues, this.#offered, agents, this.#dependencies.queues.get(service), now)
+    const reported = this.#view.fresh(now).filter(kind => kind.service === service).map(kind => clampedDemand(kind, capacity))
+    const demands = sumByQueue([...own, ...reported])
+    const waiting = total(demands, 'waiting')
+    const wanted = Math.max(used, Math.min(total(demands, 'running'), used * MAX_REPORTED_OVER_USED)) + waiting
     const refuses = before !== undefined && [...before.shares.values()].some(({ threshold }) => threshold < 1)
-    const room = { capacity, wanted, trim: before?.trim ?? 1, refuses }
-    const trim = trimAfter(room, now - (before?.at ?? now))
-    const shares = planShares({ ...room, trim }, kinds, priority => this.#parts.weights[priority] ?? 1)
+    const serviceCapacity = { capacity, wanted, trim: before?.trim ?? 1, refuses }
+    const trim = trimAfter(serviceCapacity, now - (before?.at ?? now))
+    const shares = planShares({ ...serviceCapacity, trim }, demands, priority => this.#dependencies.weights[priority] ?? 1)
     return {
       at: now,
       capacity,
@@ -221,23 +221,26 @@
       refuses,
       own,
       shares: new Map(shares.map(share => [share.name, share])),
-      freeing: turnoverOf(kinds, (name, of) => this.#parts.admission.meanRun(name, of)) * capacity,
+      releaseRate: turnoverOf(demands, (name, of) => this.#dependencies.admission.meanRun(name, of)) * capacity,
       waiting,
       ownWaiting: total(own, 'waiting'),
       admitted: 0,
-      fell: before !== undefined && (before.fell || before.capacity === 0 || capacity < before.capacity * (1 - CAPACITY_LOSS_PART))
+      capacityFell: before !== undefined && (before.capacityFell || before.capacity === 0 || capacity < before.capacity * (1 - CAPACITY_LOSS_FRACTION))
     }
   }
 
-  /** Cores that own jobs wait for which must begin before a time. */
+  /** Cores that this entry's jobs with an earlier latest start wait for. */
   #coresBefore (service: string, startBy: number): number {
     let cores = 0
-    for (const job of this.#parts.queues.get(service)?.jobs() ?? []) if (job.startBy <= startBy) cores += coresWaiting(job)
+    for (const job of this.#dependencies.queues.get(service)?.jobs() ?? []) if (job.startBy <= startBy) cores += coresWaiting(job)
     return cores
   }
 
-  /** The others' jobs are taken to stand in their queues as the own ones do. In milliseconds. */
-  #foreseenWait ({ freeing, waiting, ownWaiting }: ServiceState, coresBefore: number): number {
+  /**
+   * Expected wait in milliseconds behind `coresBefore` cores of this entry's own jobs. Jobs of other entries are
+   * assumed to be spread over their queues in the same way.
+   */
+  #expectedWait ({ releaseRate: freeing, waiting, ownWaiting }: ServiceState, coresBefore: number): number {
     if (freeing === 0 || coresBefore === 0) return 0
     return Math.max(coresBefore, Math.min(waiting, coresBefore * waiting / Math.max(1, ownWaiting))) / freeing
   }
@@ -247,39 +250,39 @@
     this.#gates.delete(name)
     this.#gates.set(name, gate)
     const oldest = this.#gates.keys().next().value
-    if (this.#gates.size > DEMAND_NAMES_LIMIT && oldest !== undefined) this.#gates.delete(oldest)
+    if (this.#gates.size > MAX_DEMAND_NAMES && oldest !== undefined) this.#gates.delete(oldest)
     return gate
   }
 
-  #noteExceeded (kind: string, refusal: ShareRefusal, now: number): void {
-    if (now - (this.#notedAt.get(kind) ?? Number.NEGATIVE_INFINITY) < SHARE_NOTE_MILLISECONDS) return
-    this.#notedAt.set(kind, now)
-    this.#parts.emit({ type: 'note', what: 'share exceeded', fields: { queue: kind, ...rounded(refusal) } })
+  #logExceeded (queue: string, refusal: ShareRefusal, now: number): void {
+    if (now - (this.#loggedAt.get(queue) ?? Number.NEGATIVE_INFINITY) < SHARE_LOG_MILLISECONDS) return
+    this.#loggedAt.set(queue, now)
+    this.#dependencies.emit({ type: 'note', what: 'share exceeded', fields: { queue, ...rounded(refusal) } })
   }
 }
 
-function passes (gate: ShareGate, part: number, arrival: Arrival): boolean {
-  if (arrival === Arrival.Early && part < 1) return false
-  return arrival === Arrival.AsTold ? gate.admitsAhead(part) : gate.admits(part)
+function gateAdmits (gate: ShareGate, fraction: number, arrival: Arrival): boolean {
+  if (arrival === Arrival.Early && fraction < 1) return false
+  return arrival === Arrival.OnTime ? gate.admitsAhead(fraction) : gate.admits(fraction)
 }
 
-/** Figures for a note. */
+/** Rounds the figures of a refusal for the log. */
 export function rounded (refusal: ShareRefusal): Record<string, number> {
   return Object.fromEntries(Object.entries(refusal).map(([name, value]) => [name, Math.round(value * 100) / 100]))
 }
 
-function total (kinds: readonly KindDemand[], figure: 'running' | 'waiting'): number {
-  return kinds.reduce((sum, kind) => sum + kind[figure], 0)
+function total (demands: readonly KindDemand[], figure: 'running' | 'waiting'): number {
+  return demands.reduce((sum, kind) => sum + kind[figure], 0)
 }
 
-/** The word of another entry, no further than what it may cost this one if it is wrong. */
-function plausible (kind: KindDemand, capacity: number): KindDemand {
-  return { ...kind, offered: Math.min(kind.offered, capacity * MOST_OFFERED_PART), waiting: Math.min(kind.waiting, capacity * MOST_WAITING_PART) }
+/** Limits the demand reported by another entry, so that a wrong report costs this one little. */
+function clampedDemand (demand: KindDemand, capacity: number): KindDemand {
+  return { ...demand, offered: Math.min(demand.offered, capacity * MAX_OFFERED_FRACTION), waiting: Math.min(demand.waiting, capacity * MAX_WAITING_FRACTION) }
 }
 
-function byDataCentre (parts: ReadonlyArray<KindDemand & { dataCentre: string }>): AdmissionStatus['dataCentres'] {
+function byDataCentre (demands: ReadonlyArray<KindDemand & { dataCentre: string }>): AdmissionStatus['dataCentres'] {
   const sums: AdmissionStatus['dataCentres'] = {}
-  for (const { dataCentre, offered, running, waiting } of parts) {
+  for (const { dataCentre, offered, running, waiting } of demands) {
     const sum = sums[dataCentre] ??= { offered: 0, running: 0, waiting: 0 }
     sum.offered += offered
     sum.running += running
--- a/packages/dispatch/src/fleetguards.ts
+++ b/packages/dispatch/src/fleetguards.ts
@@ -1,18 +1,18 @@
-/** Guards of an entry against two runs of one task, and against runs of cancelled jobs. */
+/** Guards of an entry against concurrent runs of one task, and against runs of cancelled jobs. */
 export interface FleetGuards {
-  /** Tasks at an agent out of touch count as ended only when they must have been stopped. */
+  /** Tasks at an unresponsive agent count as ended only once they must have been stopped. */
   silence: boolean
-  /** Tasks of an earlier run of the agent count as ended only when its successor has cleared the target. */
+  /** Tasks of an agent's earlier incarnation count as ended only once the new incarnation has cleared the target. */
   cleared: boolean
-  /** Stops are sent again on a new link, since the link before may have lost them. */
+  /** Stops are sent again on a new link, since the previous link may have lost them. */
   stopAgain: boolean
-  /** Nothing is echoed on a new link before those stops. */
+  /** Nothing is echoed on a new link before the agent's announcement, and thus before those stops. */
   announcedEcho: boolean
-  /** A job that was cancelled is not begun when it is submitted again. */
+  /** A cancelled job is not started when it is submitted again. */
   cancelMemory: boolean
-  /** The other entries are told of cancellations. */
+  /** Cancellations are sent to the other entries. */
   cancelNews: boolean
-  /** Room granted to a task that has found another place meanwhile is given back. */
+  /** Capacity granted to a task that has been placed elsewhere meanwhile is returned. */
   grantedOnce: boolean
 }
 
--- a/packages/dispatch/src/fleetspeeds.ts
+++ b/packages/dispatch/src/fleetspeeds.ts
@@ -114,7 +114,7 @@
     const usual = this.#learned.byKind.get(learned.kind) ?? 1
     // One that is certainly slow is given what it can do; one that has become slow may recover at any time.
     const changed = agent.pace > 0 && agent.steady === undefined && learned.speed < PROBED_SPEED * usual
-    agent.noteLearned(learned.speed * this.#mean, changed && this.#parts.policy.probesSlow)
+    agent.noteInferredSpeed(learned.speed * this.#mean, changed && this.#parts.policy.probesSlow)
     if (!changed || now - agent.slowNotedAt < SLOW_NOTE_MILLISECONDS) return
     agent.slowNotedAt = now
     this.#parts.note('target has become slow', { agent: agent.name, speed: Math.round(agent.speed * 100) / 100 })
--- a/packages/dispatch/src/fleettrust.ts
+++ b/packages/dispatch/src/fleettrust.ts
@@ -1,4 +1,4 @@
-/** How far an entry trusts each target, by how the tasks that it placed there ended. */
+/** Health of each target, derived from how the tasks placed there ended. */
 import type { AgentView, Placement } from './fleetview.ts'
 import type { TaskEnd } from './messages.ts'
 import type { Policy } from './policy.ts'
@@ -8,32 +8,33 @@
 import { fits } from './resources.ts'
 
 /**
- * Slots assumed for the gradual trust in a target: with a quarter of them a new one takes all that it has room for
- * (ten tasks of three cores on 32), so that a fleet that has just been restarted serves in full at once.
+ * Slots assumed for the slow start of a new target. A quarter of them, the initial limit, already covers all that a
+ * target has capacity for (ten tasks of three cores on 32 cores), so that a restarted fleet serves at full capacity at
+ * once.
  */
 const ASSUMED_SLOTS = 64
 
-/** Causes that speak against a target as a failed task does. */
-const AGAINST_TARGET = new Set<Cause>([Cause.Unhealthy, Cause.Rejected])
+/** Causes that count as failures of the target, like a failed task. */
+const TARGET_FAULTS = new Set<Cause>([Cause.Unhealthy, Cause.Rejected])
 
-/** How long a target is left alone after a cause, in milliseconds. */
-const PAUSES: { readonly [C in Cause]?: number } = {
+/** How long nothing is placed at a target after a cause, in milliseconds. */
+const PAUSE_MILLISECONDS: { readonly [C in Cause]?: number } = {
   [Cause.Unreachable]: UNREACHABLE_PAUSE_MILLISECONDS,
   [Cause.Unhealthy]: REFUSAL_PAUSE_MILLISECONDS,
   [Cause.Rejected]: REFUSAL_PAUSE_MILLISECONDS
 }
 
-export interface FleetTrustParts {
+export interface FleetTrustDependencies {
   policy: Policy
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
 export class FleetTrust {
-  readonly #parts: FleetTrustParts
+  readonly #dependencies: FleetTrustDependencies
   readonly #health = new FleetHealth()
 
-  constructor (parts: FleetTrustParts) {
-    this.#parts = parts
+  constructor (dependencies: FleetTrustDependencies) {
+    this.#dependencies = dependencies
   }
 
   add (agent: AgentView): void {
@@ -44,35 +45,36 @@
     this.#health.remove(agent.health)
   }
 
-  /** Another life of the target is there: nothing that was learned of the one before holds. */
-  renew (agent: AgentView): void {
+  /** Resets the health for a new incarnation of the target. */
+  reset (agent: AgentView): void {
     this.#health.remove(agent.health)
     agent.health = new TargetHealth(ASSUMED_SLOTS)
     this.#health.add(agent.health)
   }
 
-  /** Learns from an end how far the target can be trusted. */
-  judge (agent: AgentView, placement: Placement, end: TaskEnd, now: number): void {
-    const { policy } = this.#parts
+  /** Updates a target's health after one start of a task has ended there. */
+  recordEnd (agent: AgentView, placement: Placement, end: TaskEnd, now: number): void {
+    const { policy } = this.#dependencies
     this.#health.remove(agent.health)
     agent.unanswered = end.cause === Cause.Unanswered ? agent.unanswered + 1 : 0
     if (end.outcome === Outcome.Done) {
       agent.health.noteSuccess(end.ran * agent.speed / Math.max(1, placement.expected), now)
-    } else if (end.outcome === Outcome.Failed || AGAINST_TARGET.has(end.cause) || agent.unanswered >= UNANSWERED_TOLERATED) {
+    } else if (end.outcome === Outcome.Failed || TARGET_FAULTS.has(end.cause) || agent.unanswered >= UNANSWERED_TOLERATED) {
       agent.health.noteFailure()
     }
-    const pause = PAUSES[end.cause]
+    const pause = PAUSE_MILLISECONDS[end.cause]
     if (pause !== undefined) {
       agent.pausedUntil = now + (policy.pausesRefusing ? pause : 0)
     } else if (policy.believesFull && end.cause === Cause.Full && fits(placement.needs, agent.free)) {
-      // By what it says of its load there is room: asking again at once would go on for ever.
+      // The reported load shows free capacity although the target refused as full. Without this the same start would be
+      // repeated endlessly.
       agent.noteFull()
     }
     this.#health.add(agent.health)
     if (end.outcome !== Outcome.Done) this.#ejectIfDue(agent, now)
   }
 
-  /** A task that stood still there speaks against the target as a failed one does. */
+  /** Counts a task that made no progress as a failure of its target. */
   noteStuck (agent: AgentView, now: number): void {
     this.#health.remove(agent.health)
     agent.health.noteFailure()
@@ -80,20 +82,20 @@
     this.#ejectIfDue(agent, now)
   }
 
-  /** A target that was left out is tried again when its time has come. */
+  /** Puts an ejected target back on probation when its probe time has come. */
   probeIfDue (agent: AgentView, now: number): void {
     if (agent.health.trust !== Trust.Ejected || now < agent.health.probeAt) return
     this.#health.remove(agent.health)
     agent.health.probe()
     this.#health.add(agent.health)
-    this.#parts.note('target probed', { agent: agent.name })
+    this.#dependencies.note('target probed', { agent: agent.name })
   }
 
   #ejectIfDue (agent: AgentView, now: number): void {
-    if (!this.#parts.policy.ejects || !this.#health.shouldEject(agent.health)) return
+    if (!this.#dependencies.policy.ejects || !this.#health.shouldEject(agent.health)) return
     this.#health.remove(agent.health)
     agent.health.eject(now)
     this.#health.add(agent.health)
-    this.#parts.note('target ejected', { agent: agent.name, failureRate: agent.health.failureRate, probeIn: Math.round(agent.health.probeAt - now) })
+    this.#dependencies.note('target ejected', { agent: agent.name, failureRate: agent.health.failureRate, probeIn: Math.round(agent.health.probeAt - now) })
   }
 }
--- a/packages/dispatch/src/fleetview.ts
+++ b/packages/dispatch/src/fleetview.ts
@@ -1,4 +1,4 @@
-/** The targets as one entry knows them through their agents. */
+/** The state of one target as an entry sees it through the target's agent. */
 import type { Task } from './job.ts'
 import type { Load, TargetFacts } from './messages.ts'
 import type { Policy } from './policy.ts'
@@ -13,17 +13,17 @@
 import { Isolation, RoomRole } from './messages.ts'
 import { addTo, mostOf, NO_RESOURCES, takeFrom } from './resources.ts'
 
-/** A start of a task that has not ended yet. */
+/** A start of a task that has not ended. */
 export interface Placement {
   readonly task: Task
   readonly attempt: number
-  /** Run of the agent that it was sent to. */
+  /** Incarnation of the agent that the start was sent to. */
   readonly incarnation: string
   readonly needs: Resources
   /** Expected run time at an average target, in milliseconds. */
   readonly expected: number
   readonly placedAt: number
-  /** It was ordered to stop. */
+  /** A stop was sent for it. */
   stopping: boolean
 }
 
@@ -32,68 +32,68 @@
   readonly name: string
   incarnation = ''
   linked = false
-  /** Whether the agent has announced itself on the present link. */
+  /** Whether the agent has sent its announcement on the current link. */
   announced = false
-  /** Nothing may be started in its data centre. */
+  /** Whether its data centre is evacuated, so that nothing may be started there. */
   evacuated = false
   target: TargetFacts | undefined
-  /** Most that the target has had in its present life: it may grow to that again. */
+  /** Largest capacity that the target has had in its current incarnation; it may grow back to that. */
   largest: Resources = { ...NO_RESOURCES }
-  /** Until when a leaving target is used; in the past when it is not. */
+  /** Until when a leaving target is used; in the past for any other target. */
   usedUntil = Number.NEGATIVE_INFINITY
   health = new TargetHealth(1)
-  /** Run time of an average target over the run time here. */
+  /** Run time at an average target divided by the run time here. */
   speed = 1
-  /** As the agent tells it; 0 when unknown. */
+  /** Speed ratio reported by the agent; 0 when unknown. */
   pace = 0
-  /** The same over the last seconds; undefined when it does not say. */
+  /** The speed ratio over the last seconds; undefined when it is not reported. */
   steady: PaceTold | undefined
-  /** When it was last logged that it has become slow. */
+  /** When it was last logged as slow. */
   slowNotedAt = Number.NEGATIVE_INFINITY
   others: Resources = { ...NO_RESOURCES }
-  /** Room for further tasks, as far as known. */
+  /** Capacity left for further tasks, as far as known. */
   free: Resources = { ...NO_RESOURCES }
   readonly used: Resources = { ...NO_RESOURCES }
   readonly placements = new Map<string, Placement>()
-  /** Those of suspects, and of tasks that nothing else may start beside. */
+  /** Placements of tasks suspected of crashing targets, and of tasks that need a target of their own. */
   readonly #suspects = new Set<Placement>()
-  readonly #reserving = new Set<Placement>()
-  /** Room given to tasks of other entries whose starts have not arrived there, by task. */
+  readonly #exclusive = new Set<Placement>()
+  /** Capacity granted to tasks of other entries whose starts have not arrived at the target, by task. */
   readonly #granted = new Map<string, { needs: Resources, at: number }>()
   readonly #grantedSum: Resources = { ...NO_RESOURCES }
-  /** Until when tasks of other entries are expected to run there. */
+  /** Until when tasks of other entries are expected to run at the target, by entry. */
   readonly #usedUntil = new Map<string, number>()
-  /** As the agent was told. */
+  /** The role last sent to the agent. */
   role = RoomRole.Chooses
-  /** Data centre of its target, also while that is away. */
+  /** Data centre of its target; kept while the target is away. */
   dataCentre: string | undefined
-  /** Service of its target, also while that is away. */
+  /** Service of its target; kept while the target is away. */
   service: string | undefined
   heardAt = Number.NEGATIVE_INFINITY
-  /** When the last echo was sent: the agent may count on this entry from then on. */
+  /** When the last echo was sent: the agent's contact with this entry is counted from then. */
   echoedAt = Number.NEGATIVE_INFINITY
-  /** The same for the run of the agent before this one, while tasks of it are left. */
+  /** `echoedAt` of the agent's previous incarnation, while tasks of that incarnation are left. */
   predecessorEchoedAt: number | undefined
-  /** Reading of the agent's clock that is to be echoed. */
+  /** Reading of the agent's clock to send back with the next echo. */
   toEcho: number | undefined
   received = 0
-  /** Starts in a row that the target did not answer. */
+  /** Consecutive starts that the target did not answer. */
   unanswered = 0
-  readonly #quiet: number
+  readonly #quietFactor: number
   #busySince = 0
-  #probed = false
-  /** As the agent tells it, or one of another entry was given room there since. */
-  #suspectTold = false
-  /** Nothing is placed before. */
+  #limitedToOneTask = false
+  /** Whether the agent reported a suspect at the target, or a suspect of another entry was granted capacity there since. */
+  #suspectReported = false
+  /** Time before which nothing is placed here. */
   pausedUntil = Number.NEGATIVE_INFINITY
 
-  /** @param quiet how much more seldom than usual quiet links are pinged */
+  /** @param quietFactor factor by which pings on quiet links are less frequent than usual */
   constructor (name: string, quiet = 1) {
     this.name = name
-    this.#quiet = quiet
+    this.#quietFactor = quiet
   }
 
-  /** @param usedUntil until when it is used while it leaves */
+  /** @param usedUntil until when the target is used if it is leaving */
   noteTarget (target: TargetFacts | undefined, usedUntil = Number.NEGATIVE_INFINITY): void {
     const before = target?.instance === this.target?.instance ? this.largest : NO_RESOURCES
     this.largest = mostOf(before, target?.capacity ?? NO_RESOURCES)
@@ -102,20 +102,20 @@
     this.usedUntil = usedUntil
     this.dataCentre = target?.dataCentre ?? this.dataCentre
     this.service = target?.service ?? this.service
-    this.#measure()
+    this.#updateFree()
   }
 
   noteLoad ({ others, pace, steady, suspect = false, taken = [] }: Load): void {
-    this.#suspectTold = suspect
+    this.#suspectReported = suspect
     this.others = others
     this.pace = pace
-    // A target without work says nothing; one whose pace is told without a steady one has changed.
+    // An idle target reports no speed ratio. One that reports a speed ratio without a steady one has changed.
     if (steady !== undefined || pace > 0) this.steady = steady
-    for (const task of taken) this.#ungrant(task)
-    this.#measure()
+    for (const task of taken) this.#removeGrant(task)
+    this.#updateFree()
   }
 
-  /** The agent says that it is full: nothing fits before its next word on its load. */
+  /** Marks the target as full until the agent's next load report. */
   noteFull (): void {
     this.free = { ...NO_RESOURCES }
   }
@@ -124,26 +124,29 @@
     if (this.placements.size === 0) this.#busySince = placement.placedAt
     this.placements.set(placement.task.name, placement)
     if (placement.task.isolation !== Isolation.None) this.#suspects.add(placement)
-    if (placement.task.isolation === Isolation.Alone) this.#reserving.add(placement)
+    if (placement.task.isolation === Isolation.Alone) this.#exclusive.add(placement)
     addTo(this.used, placement.needs)
-    this.#measure()
+    this.#updateFree()
   }
 
   remove (placement: Placement): void {
     if (!this.placements.delete(placement.task.name)) return
     this.#suspects.delete(placement)
-    this.#reserving.delete(placement)
+    this.#exclusive.delete(placement)
     takeFrom(this.used, placement.needs)
-    this.#measure()
+    this.#updateFree()
   }
 
-  /** Takes room for a task of another entry, until its start arrives there, the entry gives it back, or it never comes. */
+  /**
+   * Reserves capacity for a task of another entry, until its start arrives, the entry returns the grant, or the grant
+   * expires.
+   */
   grant (task: string, needs: Resources, isolation: Isolation, now: number): void {
-    this.#ungrant(task)
-    this.#suspectTold ||= isolation !== Isolation.None
+    this.#removeGrant(task)
+    this.#suspectReported ||= isolation !== Isolation.None
     this.#granted.set(task, { needs, at: now })
     addTo(this.#grantedSum, needs)
-    this.#measure()
+    this.#updateFree()
   }
 
   noteUse (entry: string, until: number): void {
@@ -155,15 +158,15 @@
   }
 
   takeBack (task: string): void {
-    this.#ungrant(task)
-    this.#measure()
+    this.#removeGrant(task)
+    this.#updateFree()
   }
 
   expireGrants (now: number): void {
     for (const [task, { at }] of this.#granted) if (now - at >= GRANT_MILLISECONDS) this.takeBack(task)
   }
 
-  #ungrant (task: string): void {
+  #removeGrant (task: string): void {
     const granted = this.#granted.get(task)
     if (granted === undefined) return
     this.#granted.delete(task)
@@ -171,77 +174,86 @@
   }
 
   /**
-   * Sets the speed from its pace, against the middle one of the fleet; unknown counts as average. A target that was slow
-   * gets one task at a time until a pace shows that it has recovered: left alone, it soon has no pace to tell, looks
-   * average and empty, and drew the whole of the next wide job.
+   * Sets the speed from its speed ratio against the fleet's median; an unknown ratio counts as average. A target that
+   * was slow gets one task at a time until its ratio shows that it has recovered. Without this limit, a target that
+   * gets no work has no ratio to report, looks average and empty, and attracts the whole of the next wide job.
    */
-  noteSpeed (middle: number, { learnsSpeed, probesSlow }: Pick<Policy, 'learnsSpeed' | 'probesSlow'>): void {
-    if (!learnsSpeed || this.pace === 0 || middle === 0) {
+  noteSpeed (median: number, { learnsSpeed, probesSlow }: Pick<Policy, 'learnsSpeed' | 'probesSlow'>): void {
+    if (!learnsSpeed || this.pace === 0 || median === 0) {
       this.speed = 1
       return
     }
-    this.speed = Math.min(FASTEST_SPEED, Math.max(SLOWEST_SPEED, this.pace / middle))
-    this.#probed = probesSlow && this.speed < PROBED_SPEED
+    this.speed = Math.min(FASTEST_SPEED, Math.max(SLOWEST_SPEED, this.pace / median))
+    this.#limitedToOneTask = probesSlow && this.speed < PROBED_SPEED
   }
 
-  /** Sets a speed that was inferred from what is known of all targets. */
-  noteLearned (speed: number, probed: boolean): void {
+  /** Sets a speed that was inferred from the runs at all targets. */
+  noteInferredSpeed (speed: number, probed: boolean): void {
     this.speed = Math.min(FASTEST_SPEED, Math.max(SLOWEST_SPEED, speed))
-    this.#probed = probed
+    this.#limitedToOneTask = probed
   }
 
-  /** Time without a sign of life that was due: an agent pings seldom until it has got its first task. */
-  silentFor (now: number): number {
+  /**
+   * Milliseconds without an expected message. An agent pings rarely until it gets its first task, so the time is
+   * counted from that task at the earliest.
+   */
+  timeWithoutContact (now: number): number {
     return now - Math.max(this.heardAt, this.placements.size > 0 ? this.#busySince : Number.NEGATIVE_INFINITY)
   }
 
-  /** Silence after which the link is dialled anew, in milliseconds; it may be silent for good while a new one works. */
-  deadAfter (contact: number): number {
+  /**
+   * Time without contact after which the link is replaced, in milliseconds. The old link may stay unresponsive while a
+   * new one works.
+   */
+  contactTimeout (contact: number): number {
     if (this.placements.size > 0) return contact
-    return this.role === RoomRole.Asks ? QUIET_CONTACT_MILLISECONDS * this.#quiet : IDLE_CONTACT_MILLISECONDS
+    return this.role === RoomRole.Asks ? QUIET_CONTACT_MILLISECONDS * this.#quietFactor : IDLE_CONTACT_MILLISECONDS
   }
 
-  /** Whether a start would reach a target that takes work. */
+  /** Whether the target can be reached and takes work. */
   reachable (now: number): boolean {
-    const idle = this.role === RoomRole.Asks ? QUIET_SUSPECT_MILLISECONDS * this.#quiet : IDLE_SUSPECT_MILLISECONDS
+    const idle = this.role === RoomRole.Asks ? QUIET_SUSPECT_MILLISECONDS * this.#quietFactor : IDLE_SUSPECT_MILLISECONDS
     const silence = this.placements.size > 0 ? SUSPECT_MILLISECONDS : idle
-    return this.linked && this.announced && this.target !== undefined && this.takesWork(now) && !this.evacuated && this.silentFor(now) < silence
+    return this.linked && this.announced && this.target !== undefined && this.takesWork(now) && !this.evacuated && this.timeWithoutContact(now) < silence
   }
 
-  /** Whether its target stays, or is used while it leaves. */
+  /** Whether the target takes work: it stays, or is still used while it leaves. */
   takesWork (now: number): boolean {
     return this.target?.leaving === false || now < this.usedUntil
   }
 
-  /** Whether a task that runs for so long at an average target will have ended before the target is gone. */
-  outlasts (expected: number, now: number): boolean {
+  /** Whether a task with this run time at an average target is expected to end before the target leaves. */
+  canFinishBeforeLeaving (expected: number, now: number): boolean {
     return this.target?.leaving !== true || now + expected / this.speed * LEAVING_ESTIMATE_FACTOR + LEAVING_RESERVE_MILLISECONDS < this.usedUntil
   }
 
-  /** Whether this entry places tasks there now. */
+  /** Whether this entry may place tasks at the target now. */
   usable (now: number): boolean {
     return this.reachable(now) && now >= this.pausedUntil && this.health.trust !== Trust.Ejected
   }
 
-  /** Whether its health allows one more task at a time, after some that are about to be placed. */
-  hasPlace (planned = 0): boolean {
-    return this.placements.size + planned < (this.#probed ? 1 : this.health.limit())
+  /** Whether the target's health limit allows another task, besides `planned` ones that are about to be placed. */
+  healthAllowsMore (planned = 0): boolean {
+    return this.placements.size + planned < (this.#limitedToOneTask ? 1 : this.health.limit())
   }
 
-  /** Whether another entry may be given room there: how far it trusts the target, it judges by what it has seen itself. */
+  /**
+   * Whether capacity here may be granted to other entries. They apply their own health limits, so only a limit to one
+   * task for slowness is checked.
+   */
   get hasRoomForOthers (): boolean {
-    return !this.#probed || (this.placements.size === 0 && this.#granted.size === 0 && this.others.cpu === 0)
+    return !this.#limitedToOneTask || (this.placements.size === 0 && this.#granted.size === 0 && this.others.cpu === 0)
   }
 
-  /** Whether a suspect is there, as far as known. */
+  /** Whether a task suspected of crashing targets is known to be at the target. */
   get hasSuspect (): boolean {
-    return this.#suspectTold || this.#suspects.size > 0
+    return this.#suspectReported || this.#suspects.size > 0
   }
 
-  #measure (): void {
+  #updateFree (): void {
     const { target, others, used } = this
     const granted = this.#grantedSum
-    if (target === undefined || this.#reserving.size > 0) return this.noteFull()
+    if (target === undefined || this.#exclusive.size > 0) return this.noteFull()
     this.free = {
       cpu: target.capacity.cpu - others.cpu - used.cpu - granted.cpu,
       memory: target.capacity.memory - others.memory - used.memory - granted.memory,
--- a/packages/dispatch/src/intake.ts
+++ b/packages/dispatch/src/intake.ts
@@ -1,4 +1,4 @@
-/** Jobs that are refused as they arrive, whatever the load. */
+/** Checks that refuse a job on arrival, independent of the load. */
 import type { Admission } from './admission.ts'
 import type { Answer } from './entrytypes.ts'
 import type { Fleet } from './fleet.ts'
@@ -9,13 +9,16 @@
 import { longestChain } from './job.ts'
 import { fits } from './resources.ts'
 
-/** Part of the grace that a job accepted while stopping must leave: it may have to wait, and answers go out 600 ms before the end. */
+/**
+ * Time that a job accepted while stopping must leave before the end of the grace period, in milliseconds: it may have
+ * to wait, and answers are sent 600 ms before the end.
+ */
 const GRACE_RESERVE_MILLISECONDS = 1200
 
 /**
- * How much longer than estimated a job may take that is accepted while stopping: estimates are off by 40%. The balancer still
- * sends new callers here for a while; a job that is cut all the same is answered as not finished, and its caller submits it
- * to another entry.
+ * Safety factor on the estimate of a job accepted while stopping: estimates are off by 40%. The load balancer still
+ * sends new callers here for a while. A job that is nevertheless cut off is answered as not finished, and its caller
+ * submits it to another entry.
  */
 const STOP_ESTIMATE_FACTOR = 1.4
 
@@ -28,18 +31,22 @@
     this.#admission = admission
   }
 
-  /** @param endsAt by when everything must be answered; undefined while no stop is ordered */
+  /**
+   * Returns the refusal of an arriving job, or undefined if it may be accepted.
+   *
+   * @param endsAt time by which every job must be answered; undefined until a stop is ordered
+   */
   refusal (request: JobRequest, endsAt: number | undefined, now: number): Answer | undefined {
     const { queue, steps } = request
-    if (endsAt !== undefined && this.#tooLongToStop(request, endsAt, now)) return refused(Reason.Stopping, SHORTEST_RETRY_AFTER_MILLISECONDS)
+    if (endsAt !== undefined && this.#cannotFinishBeforeStop(request, endsAt, now)) return refused(Reason.Stopping, SHORTEST_RETRY_AFTER_MILLISECONDS)
     const known = this.#fleet.known(queue.service)
     if (known.length === 0) return undefined
     const unfit = steps.some(step => !known.some(({ largest }) => fits(step.needs, largest)))
     if (unfit) return refused(Reason.NeverRunnable, LONGEST_RETRY_AFTER_MILLISECONDS)
-    return this.#fleet.evacuatedWhole(queue.service) ? refused(Reason.Evacuated, LONGEST_RETRY_AFTER_MILLISECONDS) : undefined
+    return this.#fleet.isFullyEvacuated(queue.service) ? refused(Reason.Evacuated, LONGEST_RETRY_AFTER_MILLISECONDS) : undefined
   }
 
-  #tooLongToStop ({ queue, steps }: JobRequest, endsAt: number, now: number): boolean {
+  #cannotFinishBeforeStop ({ queue, steps }: JobRequest, endsAt: number, now: number): boolean {
     const chain = longestChain(steps, this.#admission.expected(queue, steps))
     return now + chain * STOP_ESTIMATE_FACTOR > endsAt - GRACE_RESERVE_MILLISECONDS
   }
--- a/packages/dispatch/src/job.ts
+++ b/packages/dispatch/src/job.ts
@@ -1,4 +1,4 @@
-/** A job in progress at an entry: its steps, its tasks, and who waits for it. */
+/** A job in progress at an entry: its steps, its tasks, and the callers that wait for it. */
 import type { Queue } from './queues.ts'
 import type { Resources } from './resources.ts'
 import { Isolation } from './messages.ts'
@@ -9,13 +9,13 @@
   needs: Resources
   /** Run time of a task as the caller estimates it, in milliseconds; 0 when it states none. */
   estimated: number
-  /** Steps, counted from 0, whose tasks must all be done first. */
+  /** Indexes of the steps whose tasks must all be done first. */
   after: number[]
   /** Label that the target must have; empty for none. */
   label: string
-  /** Label of the rack where the data is; empty for none. */
+  /** Label of the rack that holds the data; empty for none. */
   rack: string
-  /** Tasks of the step that may run on one target at one time; 0 for no limit. */
+  /** Maximum tasks of the step on one target at a time; 0 for no limit. */
   perTarget: number
 }
 
@@ -30,10 +30,10 @@
 }
 
 export enum TaskState {
-  /** Steps before it are not done yet. */
+  /** An earlier step is not done yet. */
   Blocked = 'blocked',
   Queued = 'queued',
-  /** It waits until more is known of the targets that it was on when they were lost. */
+  /** It waits until more is known about the targets that were lost while it was on them. */
   Withheld = 'withheld',
   Placed = 'placed',
   Done = 'done'
@@ -44,23 +44,26 @@
   readonly step: number
   readonly job: Job
   state: TaskState
-  /** Number of the last start. */
+  /** Number of the latest start. */
   attempt: number
   failures: number
-  /** Target at which it failed or stood still last: another one is tried first. */
+  /** Target at which it last failed or made no progress; other targets are preferred. */
   avoid: string
-  /** It was moved for being slow. */
+  /** Whether it was moved because it progressed too slowly. */
   moved: boolean
   /** What may run beside it. */
   isolation: Isolation
-  /** Starts that came to nothing in a row. */
+  /**
+   * Starts that ended without a result or a failure, such as refused ones or those lost with a target; not those
+   * refused for an evacuation.
+   */
   refusals: number
 }
 
-/** How a job stands towards its callers. */
+/** Whether a job still has to be answered. */
 export enum JobState {
   Open = 'open',
-  /** Answered or given up; some tasks may still be stopping. */
+  /** Answered; some tasks may still be stopping. */
   Closed = 'closed'
 }
 
@@ -68,33 +71,33 @@
   readonly request: JobRequest
   readonly tasks: Task[]
   readonly arrivedAt: number
-  /** After this nobody waits for the answer any more. */
+  /** Time after which no caller waits for the answer. */
   readonly deadline: number
   /** Callers' requests that wait for the answer. */
   readonly waiting = new Set<number>()
   state = JobState.Open
-  /** Expected time of the longest chain of steps, in milliseconds. */
+  /** Expected time of the longest chain of unfinished steps, in milliseconds. */
   chain = 0
-  /** Expected work of one task of each step, in milliseconds. */
+  /** Expected run time of one task of each step at an average target, in milliseconds. */
   expected: number[] = []
-  /** An answer until then counts in full. */
+  /** An answer up to this time has full value. */
   objectiveAt = 0
-  /** An answer after that counts nothing. */
+  /** An answer after this time has no value. */
   overdueAt = 0
-  /** Latest time at which what is left of the chain may begin for the answer to count in full. */
+  /** Latest start of the remaining chain for the answer to have full value. */
   startBy = 0
-  /** While others wait, the job is refused after this: it would hardly be in time. */
+  /** While others wait, the job is refused after this time, since it would hardly be in time. */
   keptUntil = 0
-  /** Tasks placed and not ended. */
+  /** Number of tasks that are placed and have not ended. */
   placed = 0
-  /** Whether any task has been placed: the job can't be refused as not run any more. */
+  /** Whether any task has been placed: the job can no longer be refused as not run. */
   started = false
   offeredAt: number | undefined
-  /** A further submission of the id that arrived while the tasks of this one were stopping. */
+  /** A repeated submission of the id that arrived while tasks of this one were stopping. */
   successor: Job | undefined
   #left: number
 
-  /** @param attempts starts of its tasks before this submission, at most */
+  /** @param attempts upper bound of the attempt numbers used before this submission */
   constructor (request: JobRequest, now: number, attempts = 0) {
     this.request = request
     this.arrivedAt = now
@@ -103,7 +106,7 @@
     this.#left = this.tasks.length
   }
 
-  /** The highest number of a start of any task. */
+  /** The highest attempt number of any task. */
   get lastAttempt (): number {
     return Math.max(...this.tasks.map(({ attempt }) => attempt))
   }
@@ -116,7 +119,7 @@
     return this.tasks.filter(task => task.state === TaskState.Queued)
   }
 
-  /** Marks a task done; tells whether steps became ready by it. */
+  /** Marks a task done; returns whether further steps became ready. */
   finish (task: Task): boolean {
     if (task.state === TaskState.Done) return false
     task.state = TaskState.Done
@@ -155,7 +158,7 @@
 }
 
 /**
- * Longest chain of steps that are not done, by the expected time of one task of each. Steps name
+ * Duration of the longest chain of unfinished steps, by the expected run time of one task of each. Steps refer to
  * earlier ones only, so one pass is enough.
  */
 export function longestChain (steps: readonly Step[], expected: readonly number[], done: (step: number) => boolean = () => false): number {
@@ -167,12 +170,12 @@
   return Math.max(0, ...ends)
 }
 
-/** When the tasks of a step must have ended for the whole job to be in time: the steps that wait for it come after. */
-export function endOfStep ({ request: { steps }, expected, objectiveAt }: Job, index: number): number {
-  const tails = steps.map(() => 0)
+/** Latest end of a step's tasks for the whole job to be in time, given the steps that depend on it. */
+export function latestEndOfStep ({ request: { steps }, expected, objectiveAt }: Job, index: number): number {
+  const timeAfter = steps.map(() => 0)
   for (let later = steps.length - 1; later > index; later -= 1) {
-    const whole = (tails[later] ?? 0) + (expected[later] ?? 0)
-    for (const earlier of steps[later]?.after ?? []) tails[earlier] = Math.max(tails[earlier] ?? 0, whole)
+    const whole = (timeAfter[later] ?? 0) + (expected[later] ?? 0)
+    for (const earlier of steps[later]?.after ?? []) timeAfter[earlier] = Math.max(timeAfter[earlier] ?? 0, whole)
   }
-  return objectiveAt - (tails[index] ?? 0)
+  return objectiveAt - (timeAfter[index] ?? 0)
 }
--- a/packages/dispatch/src/jobdeadlines.ts
+++ b/packages/dispatch/src/jobdeadlines.ts
@@ -1,30 +1,30 @@
-/** Which open jobs have to be given up because their callers are about to go. */
+/** Finds the open jobs that must be answered because their callers are about to stop waiting. */
 import type { Job } from './job.ts'
 import { ANSWER_MILLISECONDS } from './defaults.ts'
 import { JobState } from './job.ts'
 
 export class JobDeadlines {
-  /** None is due before that. */
-  #next = Infinity
+  /** No job is due before this time. */
+  #earliest = Infinity
 
   opened (job: Job): void {
-    this.#next = Math.min(this.#next, endOf(job))
+    this.#earliest = Math.min(this.#earliest, answerBy(job))
   }
 
   due (jobs: Iterable<Job>, now: number): Job[] {
-    if (now < this.#next) return []
-    this.#next = Infinity
+    if (now < this.#earliest) return []
+    this.#earliest = Infinity
     const due: Job[] = []
     for (const job of jobs) {
       if (job.state !== JobState.Open) continue
-      if (now >= endOf(job)) due.push(job)
+      if (now >= answerBy(job)) due.push(job)
       else this.opened(job)
     }
     return due
   }
 }
 
-/** Time is kept for the way of the answer. */
-function endOf ({ deadline }: Job): number {
+/** Latest time to answer a job: the transfer of the answer is reserved. */
+function answerBy ({ deadline }: Job): number {
   return deadline - ANSWER_MILLISECONDS
 }
--- a/packages/dispatch/src/jobqueue.ts
+++ b/packages/dispatch/src/jobqueue.ts
@@ -1,4 +1,4 @@
-/** Jobs of one service with tasks to place, in the order in which they are served. */
+/** Queue of one service's jobs with tasks to place, in the order in which they are served. */
 import type { Job } from './job.ts'
 import type { Policy } from './policy.ts'
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
@@ -7,11 +7,11 @@
 type OrderPolicy = Pick<Policy, 'priorityStep' | 'byKept' | 'shortestFirst' | 'placesBySlack'>
 
 /**
- * The job comes first that would be refused first, so that long jobs, which can wait long before they must begin, are not
- * all refused under overload: at twice the load 0.36 of the credit of the longest kind against 0.32 in the order of the
- * latest times to begin (emulated, four fleets). A job that was begun keeps its place: else a wide one is passed over
- * while its last tasks wait, and all its work is in vain. Jobs that can't be in time need no rank behind the others, since
- * they are refused while others wait: ranks for them changed no figure on six emulated kinds of day.
+ * The job that would be refused first comes first. Long jobs have a late refusal time, so under overload they are not
+ * all refused: at twice the load the longest kind gets 0.36 of the credit, against 0.32 in the order of the latest
+ * start (emulated, four fleets). A started job keeps its place; otherwise a wide job is passed over while its last
+ * tasks wait, and all its work is wasted. Jobs that cannot be in time need no rank behind the others, since they are
+ * refused while others wait: such ranks changed no figure on six emulated kinds of day.
  */
 export class JobQueue {
   readonly #policy: OrderPolicy
@@ -25,12 +25,12 @@
     return this.#heap.size
   }
 
-  /** Adds the job, or puts it where it belongs by now. */
+  /** Adds the job, or updates its position. */
   add (job: Job): void {
     this.#heap.set(job, this.orderOf(job), job.arrivedAt)
   }
 
-  /** The job with the smallest one is served first. */
+  /** Sort key of a job; the smallest is served first. */
   orderOf (job: Job): number {
     const { byKept, priorityStep, shortestFirst, placesBySlack } = this.#policy
     if (shortestFirst) return job.chain
@@ -38,7 +38,7 @@
     return (byKept ? job.keptUntil : job.startBy) + priorityStep * job.request.queue.priority - begun
   }
 
-  /** Order of the next job; infinite when there is none. */
+  /** Sort key of the next job; infinite when there is none. */
   get nextOrder (): number {
     return this.#heap.peekKey() ?? Infinity
   }
@@ -47,12 +47,12 @@
     this.#heap.delete(job)
   }
 
-  /** Takes the next job out; it is added again if tasks are left. */
+  /** Removes and returns the next job; the caller adds it again if tasks are left. */
   take (): Job | undefined {
     return this.#heap.pop()
   }
 
-  /** Every job, in no order. */
+  /** All jobs, in no particular order. */
   jobs (): readonly Job[] {
     return this.#heap.values()
   }
--- a/packages/dispatch/src/keyshares.ts
+++ b/packages/dispatch/src/keyshares.ts
@@ -1,9 +1,9 @@
-/** Holds one key of a kind to its part while others of the kind want theirs. */
+/** Limits each key of a queue to its fair share while other keys of the queue have demand. */
 import type { JobRequest } from './job.ts'
 import { maxMinShares } from './capacityshares.ts'
 import { DemandMeter } from './demandmeter.ts'
 
-/** What a job's work is bound to, the rack of its data or else its label; empty for nothing. */
+/** What a job's work is bound to: the rack of its data, or else its label; empty if neither. */
 export function keyOf ({ steps }: Pick<JobRequest, 'steps'>): string {
   const bound = steps.find(({ rack, label }) => rack !== '' || label !== '')
   return bound === undefined ? '' : bound.rack === '' ? bound.label : bound.rack
@@ -12,20 +12,20 @@
 export class KeyShares {
   readonly #meters = new Map<string, DemandMeter>()
 
-  /** Work arrives, in cores times milliseconds. */
-  note (kind: string, key: string, work: number, now: number): void {
+  /** Counts work that arrives, in cores times milliseconds. */
+  note (queue: string, key: string, work: number, now: number): void {
     if (key === '') return
-    let meter = this.#meters.get(kind)
+    let meter = this.#meters.get(queue)
     if (meter === undefined) {
       meter = new DemandMeter()
-      this.#meters.set(kind, meter)
+      this.#meters.set(queue, meter)
     }
     meter.note(key, work, now)
   }
 
-  /** Part of the key's jobs that may pass, 0 to 1, of a kind of which the part `threshold` may. */
-  part (kind: string, key: string, threshold: number, now: number): number {
-    const meter = this.#meters.get(kind)
+  /** Fraction of the key's jobs that may pass, 0 to 1, if the fraction `threshold` of the queue's jobs may. */
+  part (queue: string, key: string, threshold: number, now: number): number {
+    const meter = this.#meters.get(queue)
     if (key === '' || threshold >= 1 || meter === undefined) return threshold
     const names = meter.names()
     const claims = names.map(name => ({ demand: meter.rate(name, now), weight: 1 }))
--- a/packages/dispatch/src/owndemand.ts
+++ b/packages/dispatch/src/owndemand.ts
@@ -1,4 +1,4 @@
-/** What the callers of this entry want, and what its jobs hold. */
+/** The demand of this entry's callers, and the cores that its jobs hold. */
 import type { DemandMeter } from './demandmeter.ts'
 import type { AgentView } from './fleetview.ts'
 import type { Job, JobRequest, Step } from './job.ts'
@@ -14,7 +14,7 @@
   return steps.reduce((sum, { count, needs }, index) => sum + count * needs.cpu * (expected[index] ?? 0), 0) / THOUSANDTHS
 }
 
-/** Cores that all tasks of a job hold if they run at one time. */
+/** Cores that all tasks of a job hold if they run at the same time. */
 export function coresWanted ({ steps }: Pick<JobRequest, 'steps'>): number {
   return steps.reduce((sum, { count, needs }) => sum + count * needs.cpu, 0) / THOUSANDTHS
 }
@@ -26,7 +26,7 @@
   return cpu / THOUSANDTHS
 }
 
-/** Cores of the targets, and those in use there by the tasks of all entries. */
+/** Cores of the targets, and those used there by the tasks of all entries. */
 export function coresOf (agents: readonly AgentView[]): { capacity: number, used: number } {
   let capacity = 0
   let used = 0
@@ -38,15 +38,16 @@
 }
 
 /**
- * How soon cores in use come free, in parts of them a millisecond. While none are, by what callers want.
+ * Fraction of the cores in use that is released each millisecond. While none are in use, it is computed from the
+ * demand.
  *
- * @param meanRun of a queue's tasks, in milliseconds
+ * @param meanRun mean run time of a queue's tasks, in milliseconds
  */
-export function turnoverOf (kinds: readonly KindDemand[], meanRun: (name: string, service: string) => number): number {
-  const idle = kinds.every(({ running }) => running === 0)
+export function turnoverOf (demands: readonly KindDemand[], meanRun: (name: string, service: string) => number): number {
+  const idle = demands.every(({ running }) => running === 0)
   let held = 0
   let freed = 0
-  for (const { name, service, running, offered } of kinds) {
+  for (const { name, service, running, offered } of demands) {
     const cores = idle ? offered : running
     held += cores
     freed += cores / Math.max(1, meanRun(name, service))
@@ -54,18 +55,18 @@
   return held === 0 ? 0 : freed / held
 }
 
-/** What each of the queues has here. */
+/** Demand of each queue at this entry. */
 export function demandOf (queues: readonly Queue[], meter: DemandMeter, agents: readonly AgentView[], waiting: JobQueue | undefined, now: number): KindDemand[] {
-  const kinds = new Map(queues.map(({ name, service, priority }) => [name, { name, service, priority, offered: meter.rate(name, now), running: 0, waiting: 0 }]))
+  const demands = new Map(queues.map(({ name, service, priority }) => [name, { name, service, priority, offered: meter.rate(name, now), running: 0, waiting: 0 }]))
   for (const { placements } of agents) {
     for (const { task, needs } of placements.values()) {
-      const kind = kinds.get(task.job.request.queue.name)
+      const kind = demands.get(task.job.request.queue.name)
       if (kind !== undefined) kind.running += needs.cpu / THOUSANDTHS
     }
   }
   for (const job of waiting?.jobs() ?? []) {
-    const kind = kinds.get(job.request.queue.name)
+    const kind = demands.get(job.request.queue.name)
     if (kind !== undefined) kind.waiting += coresWaiting(job)
   }
-  return [...kinds.values()]
+  return [...demands.values()]
 }
--- a/packages/dispatch/src/placement.ts
+++ b/packages/dispatch/src/placement.ts
@@ -2,7 +2,7 @@
 import type { AgentView } from './fleetview.ts'
 import type { Step } from './job.ts'
 import type { Policy } from './policy.ts'
-import { SUSPECT_LOAD_MILLISECONDS } from './crashdefaults.ts'
+import { SUSPECT_LOAD_COST_MILLISECONDS } from './crashdefaults.ts'
 import { COUNTED_FAILURE_RATE } from './defaults.ts'
 import { Isolation } from './messages.ts'
 import { fits } from './resources.ts'
@@ -56,7 +56,7 @@
 /** Whether the target may get the task now. */
 export function allows ({ step, expected, now, isolation, placedAt, hasPlace }: PlacementRequest, agent: AgentView): boolean {
   if (isolation !== Isolation.None && agent.hasSuspect) return false
-  if (!hasPlace(agent) || !fits(step.needs, agent.free) || !agent.outlasts(expected, now)) return false
+  if (!hasPlace(agent) || !fits(step.needs, agent.free) || !agent.canFinishBeforeLeaving(expected, now)) return false
   if (step.label !== '' && agent.target?.labels.includes(step.label) !== true) return false
   return step.perTarget === 0 || placedAt(agent) < step.perTarget
 }
@@ -83,8 +83,8 @@
   const { target } = agent
   if (target === undefined) return Infinity
   const far = target.dataCentre === dataCentre ? 0 : farPenalty
-  const load = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
+  const load = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_COST_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
   const fresh = isUsed(agent) ? 0 : policy.affinity * entries
-  const avoidance = isolation === Isolation.None ? expected : SUSPECT_LOAD_MILLISECONDS
+  const avoidance = isolation === Isolation.None ? expected : SUSPECT_LOAD_COST_MILLISECONDS
   return fresh + far + load + (agent.name === avoid ? avoidance : 0) + (agent.hasSuspect ? expected : 0)
 }
--- a/packages/dispatch/src/placing.ts
+++ b/packages/dispatch/src/placing.ts
@@ -7,7 +7,7 @@
 import type { Policy } from './policy.ts'
 import type { RoomRequest } from './roomrequest.ts'
 import type { Grant } from './roommessages.ts'
-import { endOfStep, JobState, TaskState } from './job.ts'
+import { latestEndOfStep, JobState, TaskState } from './job.ts'
 import { Isolation } from './messages.ts'
 import { choose } from './placement.ts'
 import { RequestQueue } from './requestqueue.ts'
@@ -47,7 +47,7 @@
 
   /** Places what fits; what is left goes back into its queue. */
   place (candidates: Candidates, jobs: JobQueue | undefined, requests: RequestQueue = NO_REQUESTS, now: number): void {
-    this.#parts.fleet.farCost.begin()
+    this.#parts.fleet.remoteCost.begin()
     const waiting: Job[] = []
     const asking: RoomRequest[] = []
     const { scanLimit } = this.#parts.policy
@@ -91,12 +91,12 @@
         step,
         expected: job.expected[task.step] ?? 0,
         now,
-        left: this.#parts.policy.placesBySlack ? endOfStep(job, task.step) - now : Infinity,
+        left: this.#parts.policy.placesBySlack ? latestEndOfStep(job, task.step) - now : Infinity,
         avoid: task.avoid,
         isolation: task.isolation,
         dataCentre: this.#parts.dataCentre,
         placedAt: ({ name }) => counts.at(task.step, name),
-        hasPlace: agent => agent.hasPlace(),
+        hasPlace: agent => agent.healthAllowsMore(),
         isUsed: agent => agent.placements.size > 0,
         entries: this.#parts.entries(),
         policy: this.#parts.policy,
@@ -125,7 +125,7 @@
 
   /** Changes the request in place: a copy for each task takes longer than the choice itself. */
   #choose (request: PlacementRequest, candidates: readonly AgentView[], service: string): AgentView | undefined {
-    const { policy, fleet: { farCost, speeds } } = this.#parts
+    const { policy, fleet: { remoteCost: farCost, speeds } } = this.#parts
     // An entry of an earlier build does not say how much time is left.
     if (!policy.placesBySlack || request.left === Infinity) return choose(request, candidates)
     request.farPenalty = farCost.of(request.dataCentre)
--- a/packages/dispatch/src/pressure.ts
+++ b/packages/dispatch/src/pressure.ts
@@ -1,67 +1,68 @@
-/** How hard callers press: how early the hopeless ones are refused, and when they are asked to come back. */
+/** Measures recent refusals: they decide how early jobs are refused, and when callers are asked to return. */
 import { hashString } from '@amaranthmast/coordination/rendezvous'
 import { LONGEST_RETRY_AFTER_MILLISECONDS, PRESSURE_HALF_LIFE_MILLISECONDS, SHORTEST_RETRY_AFTER_MILLISECONDS } from './defaults.ts'
 
-/** Steps of the spread: the low bits of the hash differ most between ids that are alike. */
-const STEPS = 1024
+/** Steps of the spread of return times: the low bits of the hash differ most between similar ids. */
+const SPREAD_STEPS = 1024
 
 const MILLISECONDS_PER_SECOND = 1000
 
 /**
- * What an entry has refused, begun and answered late in the last seconds.
+ * Decaying counts of the jobs that an entry has refused, started and answered late in the last seconds.
  *
- * Told the same time, all callers that a burst had refused would come back in one moment and be the next burst. Each is
- * told another one, spread over a span that grows with the jobs refused for each one begun lately: so many rounds it takes
- * until there is room for all. With 0.8 of the refused callers coming back in emulated bursts: credit 0.808 -> 0.817, callers
- * late 156 -> 139 a day, against telling all the same (12 fleets).
+ * If all callers refused in a burst were given the same time, they would return at once and be the next burst. Each is
+ * given another time, spread over a span that grows with the jobs refused for each one started recently: that many
+ * rounds pass until there is capacity for all. With 0.8 of the refused callers returning in emulated bursts, this
+ * raises the credit from 0.808 to 0.817 and lowers late callers from 156 to 139 a day, against giving all the same time
+ * (12 fleets).
  */
 export class Pressure {
   #refused = 0
   #begun = 0
   #late = 0
-  #fadedAt = 0
+  #decayedAt = 0
 
   noteRefused (now: number): void {
-    this.#fade(now)
+    this.#decay(now)
     this.#refused += 1
   }
 
   noteBegun (now: number): void {
-    this.#fade(now)
+    this.#decay(now)
     this.#begun += 1
   }
 
   noteLate (now: number): void {
-    this.#fade(now)
+    this.#decay(now)
     this.#late += 1
   }
 
-  /** Part of the jobs decided lately that were refused or not answered in time, 0 to 1. */
-  missedShare (now: number): number {
-    this.#fade(now)
+  /** Fraction of the recently decided jobs that were refused or not answered in time, 0 to 1. */
+  missedFraction (now: number): number {
+    this.#decay(now)
     return Math.min(1, (this.#refused + this.#late) / Math.max(1, this.#refused + this.#begun))
   }
 
-  /** Jobs begun lately, each second. */
+  /** Recently started jobs, each second. */
   begunPerSecond (now: number): number {
-    this.#fade(now)
+    this.#decay(now)
     return this.#begun * Math.LN2 / PRESSURE_HALF_LIFE_MILLISECONDS * MILLISECONDS_PER_SECOND
   }
 
-  /** In milliseconds. The spread comes from the id, so that the same job is told the same. */
+  /** When the caller should return, in milliseconds. The spread derives from the id, so that the same job gets the same time. */
   retryAfter (job: string, now: number): number {
-    this.#fade(now)
+    this.#decay(now)
     const pressure = this.#refused / Math.max(1, this.#begun)
     const span = Math.min(LONGEST_RETRY_AFTER_MILLISECONDS, SHORTEST_RETRY_AFTER_MILLISECONDS + PRESSURE_HALF_LIFE_MILLISECONDS * pressure)
-    const part = hashString(job) % STEPS / STEPS
-    return Math.round(SHORTEST_RETRY_AFTER_MILLISECONDS + (span - SHORTEST_RETRY_AFTER_MILLISECONDS) * part)
+    const fraction = hashString(job) % SPREAD_STEPS / SPREAD_STEPS
+    return Math.round(SHORTEST_RETRY_AFTER_MILLISECONDS + (span - SHORTEST_RETRY_AFTER_MILLISECONDS) * fraction)
   }
 
-  #fade (now: number): void {
-    const factor = 2 ** (-(now - this.#fadedAt) / PRESSURE_HALF_LIFE_MILLISECONDS)
+  #decay (now: number): void {
+    const factor = 2 ** (-(now - this.#decayedAt) / PRESSURE_HALF_LIFE_MILLISECONDS)
     this.#refused *= factor
     this.#begun *= factor
     this.#late *= factor
-    this.#fadedAt = now
+    this.#decayedAt = now
   }
 }
--- a/packages/dispatch/src/queues.ts
+++ b/packages/dispatch/src/queues.ts
@@ -1,4 +1,4 @@
-/** The queues of the configuration, and which one a request is for. */
+/** The queues of the configuration, and the lookup of the queue for a request. */
 
 /** A queue as the operators configure it. */
 export interface Queue {
@@ -7,15 +7,15 @@
   /** A request belongs to the queue with the longest prefix that its path begins with. */
   prefix: string
   service: string
-  /** 0 comes first. */
+  /** 0 is served first. */
   priority: number
-  /** A task that failed so often makes its job fail. */
+  /** Failures of one task after which its job fails. */
   attempts: number
-  /** The objective of a job is this many times its longest chain of work, and `latency` more. */
+  /** The objective of a job is this factor times its longest chain of work, plus `latency`. */
   slackFactor: number
   /** In milliseconds. */
   latency: number
-  /** Longest time of a request, in milliseconds; 0 for none. */
+  /** Maximum time of a request, in milliseconds; 0 for none. */
   timeout: number
 }
 
@@ -27,21 +27,21 @@
   idleTimeout: number
 }
 
-/** What an entry needs of the operators' configuration. */
+/** The part of the operators' configuration that an entry uses. */
 export interface DispatchConfiguration {
   version: number
   queues: Queue[]
   limits: RequestLimits
 }
 
-/** The queues of one host, by the length of their prefixes. */
+/** The queues of one host, by prefix. */
 interface HostQueues {
-  /** Lengths that prefixes have, the longest first. */
+  /** Lengths of the prefixes, longest first. */
   lengths: number[]
   byPrefix: Map<string, Queue>
 }
 
-/** Finds the queue of a request by host and longest prefix, in a time that does not grow with the number of queues. */
+/** Finds the queue of a request by host and longest prefix, in time independent of the number of queues. */
 export class QueueTable {
   readonly #byHost = new Map<string, HostQueues>()
 
--- a/packages/dispatch/src/requestqueue.ts
+++ b/packages/dispatch/src/requestqueue.ts
@@ -1,4 +1,4 @@
-/** Requests of other entries for room at targets of one service, in the order in which they are served. */
+/** Queue of other entries' requests for capacity at targets of one service, in the order in which they are served. */
 import type { RoomRequest } from './roomrequest.ts'
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
 
@@ -9,12 +9,12 @@
     return this.#heap.size
   }
 
-  /** Entries whose requests wait. */
+  /** Number of entries whose requests wait. */
   get peers (): number {
     return new Set(this.#heap.values().map(({ peer }) => peer)).size
   }
 
-  /** Order of the next request; infinite when there is none. */
+  /** Sort key of the next request; infinite when there is none. */
   get nextOrder (): number {
     return this.#heap.peekKey() ?? Infinity
   }
@@ -31,7 +31,7 @@
     return this.#heap.pop()
   }
 
-  /** Every request, in no order. */
+  /** All requests, in no particular order. */
   requests (): readonly RoomRequest[] {
     return this.#heap.values()
   }
--- a/packages/dispatch/src/roomclient.ts
+++ b/packages/dispatch/src/roomclient.ts
@@ -8,7 +8,7 @@
   QUICK_ANSWER_MILLISECONDS, SLOW_ANSWER_MILLISECONDS
 } from './defaults.ts'
 import { HOLDER_SILENCE_MILLISECONDS, UNANSWERED_MILLISECONDS } from './partitiondefaults.ts'
-import { endOfStep, JobState } from './job.ts'
+import { latestEndOfStep, JobState } from './job.ts'
 import { Isolation } from './messages.ts'
 import { choosePartition, UNKNOWN_ROOM } from './partitionchoice.ts'
 
@@ -360,6 +360,6 @@
   return [...new Set(tasks.map(({ step }) => step))].map(index => {
     const { needs, label, rack, perTarget } = job.request.steps[index] as Step
     const queued = tasks.filter(({ step }) => step === index).map(({ name, avoid, isolation }) => ({ name, avoid, ...(isolation === Isolation.None ? {} : { isolation }) }))
-    return { index, needs, label, rack, perTarget, expected: Math.round(job.expected[index] ?? 0), endBy: Math.round(endOfStep(job, index) - now), tasks: queued, placed: fleet.agentsOf(job, index) }
+    return { index, needs, label, rack, perTarget, expected: Math.round(job.expected[index] ?? 0), endBy: Math.round(latestEndOfStep(job, index) - now), tasks: queued, placed: fleet.agentsOf(job, index) }
   })
 }
--- a/packages/dispatch/src/roomsharing.ts
+++ b/packages/dispatch/src/roomsharing.ts
@@ -312,7 +312,7 @@
       const task = job?.tasks.find(({ name }) => name === grant.task)
       const agent = this.#parts.fleet.agent(grant.agent)
       const placed = task?.state !== TaskState.Queued && this.#parts.fleet.guards.grantedOnce
-      if (task === undefined || placed || agent?.usable(now) !== true || !agent.hasPlace(planned.get(agent))) {
+      if (task === undefined || placed || agent?.usable(now) !== true || !agent.healthAllowsMore(planned.get(agent))) {
         unused.push(grant)
         continue
       }
--- a/packages/dispatch/src/shareplan.ts
+++ b/packages/dispatch/src/shareplan.ts
@@ -1,60 +1,63 @@
-/** Shares of the kinds of job in the capacity of one service, from what all entries see. */
+/** Computes the shares of the queues in the capacity of one service from the demand at all entries. */
 import type { KindDemand } from './roommessages.ts'
 import { maxMinShares } from './capacityshares.ts'
-import { CALM_PART, EXCESS_TOLERATED, LARGEST_TRIM, SMALLEST_TRIM, TRIM_MILLISECONDS, WANTED_GAIN, WANTED_PART } from './admissiondefaults.ts'
+import { REFUSAL_START_FRACTION, TOLERATED_EXCESS, MAX_TRIM, MIN_TRIM, TRIM_MILLISECONDS, WANTED_GAIN, WANTED_FRACTION } from './admissiondefaults.ts'
 
-/** In cores, except the threshold. */
-export interface KindShare extends KindDemand {
-  /** Work of the kind that is admitted each second. */
+/** Figures in cores, except the threshold. */
+export interface QueueShare extends KindDemand {
+  /** Work of the queue admitted each second. */
   share: number
-  /** Part of the share that is above what the kind's weight would give it if all wanted all. */
+  /** The part of the share above what the queue's weight would give it if all queues had unlimited demand. */
   borrowed: number
-  /** Part of the kind's jobs that are admitted, 0 to 1. */
+  /** Fraction of the queue's jobs that is admitted, 0 to 1. */
   threshold: number
 }
 
-/** In cores. */
-export interface ServiceRoom {
+/** Capacity and load of one service, in cores. */
+export interface ServiceCapacity {
   capacity: number
-  /** Held or wanted at this time by tasks that were admitted. */
+  /** Cores held or waited for by admitted tasks. */
   wanted: number
-  /** Admitted work over the capacity that has kept the cores busy so far: estimates of work may be off all in one way. */
+  /**
+   * Ratio of admitted work to capacity that has kept the cores busy so far: estimates of work may all be off in the
+   * same direction.
+   */
   trim: number
-  /** Whether jobs were refused for want of capacity up to now. */
+  /** Whether jobs were refused for lack of capacity up to now. */
   refuses: boolean
 }
 
-/** The trim some milliseconds later, while jobs are refused; it is forgotten when none are. */
-export function trimAfter ({ capacity, wanted, trim, refuses }: ServiceRoom, milliseconds: number): number {
-  const missing = capacity > 0 ? WANTED_PART - wanted / capacity : 0
+/** Returns the trim some milliseconds later. It adapts while jobs are refused, and returns to 1 while none are. */
+export function trimAfter ({ capacity, wanted, trim, refuses }: ServiceCapacity, milliseconds: number): number {
+  const missing = capacity > 0 ? WANTED_FRACTION - wanted / capacity : 0
   const step = Math.min(1, milliseconds / TRIM_MILLISECONDS) * (refuses || missing < 0 ? missing : 1 - trim)
-  return Math.min(LARGEST_TRIM, Math.max(SMALLEST_TRIM, trim + step))
+  return Math.min(MAX_TRIM, Math.max(MIN_TRIM, trim + step))
 }
 
 /**
- * A kind that wants no more than its fair share is admitted whole, or little more while another wants far more. What waits beyond the aim,
- * or is missing to it, falls to those that want more: they have caused it.
- * A demand that swings above the capacity for a moment refuses nobody.
+ * Computes the share of each queue. A queue with a demand up to its fair share is admitted whole, also slightly above
+ * it while another queue is far above its own. What waits beyond the aim, or is missing to it, is charged to the queues
+ * above their share, which have caused it. A short swing of the demand above the capacity causes no refusals.
  *
- * @param weightOf weight of the kinds of a priority
+ * @param weightOf weight of the queues of a priority
  */
-export function planShares (room: ServiceRoom, kinds: readonly KindDemand[], weightOf: (priority: number) => number): KindShare[] {
-  const claims = kinds.map(({ offered, priority }) => ({ demand: offered, weight: weightOf(priority) }))
-  const fair = maxMinShares(room.capacity, claims)
+export function planShares (service: ServiceCapacity, demands: readonly KindDemand[], weightOf: (priority: number) => number): QueueShare[] {
+  const claims = demands.map(({ offered, priority }) => ({ demand: offered, weight: weightOf(priority) }))
+  const fair = maxMinShares(service.capacity, claims)
   const fairOf = (index: number): number => fair[index] ?? 0
-  const above = (tolerated: number): boolean[] => kinds.map(({ offered }, index) => offered > fairOf(index) * (1 + tolerated))
-  const bursting = above(EXCESS_TOLERATED)
-  const calm = !room.refuses && room.wanted < CALM_PART * room.capacity
-  const exceeds = calm ? kinds.map(() => false) : bursting.includes(true) ? bursting : above(0)
-  const ofExceeding = total(kinds.map((_kind, index) => exceeds[index] === true ? fairOf(index) : 0))
-  const ofOthers = total(kinds.map(({ offered }, index) => exceeds[index] === true ? 0 : offered))
-  const left = room.trim * room.capacity + WANTED_GAIN * (WANTED_PART * room.capacity - room.wanted) - ofOthers
+  const above = (tolerance: number): boolean[] => demands.map(({ offered }, index) => offered > fairOf(index) * (1 + tolerance))
+  const farAbove = above(TOLERATED_EXCESS)
+  const admitsAll = !service.refuses && service.wanted < REFUSAL_START_FRACTION * service.capacity
+  const exceeds = admitsAll ? demands.map(() => false) : farAbove.includes(true) ? farAbove : above(0)
+  const ofExceeding = total(demands.map((_kind, index) => exceeds[index] === true ? fairOf(index) : 0))
+  const ofOthers = total(demands.map(({ offered }, index) => exceeds[index] === true ? 0 : offered))
+  const left = service.trim * service.capacity + WANTED_GAIN * (WANTED_FRACTION * service.capacity - service.wanted) - ofOthers
   const factor = ofExceeding === 0 ? 1 : Math.max(0, left / ofExceeding)
   const weights = total(claims.map(({ demand, weight }) => demand > 0 ? weight : 0))
-  return kinds.map((kind, index) => {
-    const share = exceeds[index] === true ? Math.min(kind.offered, fairOf(index) * factor) : kind.offered
-    const own = weights === 0 ? 0 : room.capacity * (claims[index]?.weight ?? 1) / weights
-    return { ...kind, share, borrowed: Math.max(0, share - own), threshold: kind.offered > share ? share / kind.offered : 1 }
+  return demands.map((demand, index) => {
+    const share = exceeds[index] === true ? Math.min(demand.offered, fairOf(index) * factor) : demand.offered
+    const own = weights === 0 ? 0 : service.capacity * (claims[index]?.weight ?? 1) / weights
+    return { ...demand, share, borrowed: Math.max(0, share - own), threshold: demand.offered > share ? share / demand.offered : 1 }
   })
 }
 
@@ -62,16 +65,16 @@
   return values.reduce((sum, value) => sum + value, 0)
 }
 
-/** The figures of the same kinds added up. */
-export function sumByKind (demands: readonly KindDemand[]): KindDemand[] {
-  const kinds = new Map<string, KindDemand>()
+/** Adds up the figures of each queue. */
+export function sumByQueue (demands: readonly KindDemand[]): KindDemand[] {
+  const sums = new Map<string, KindDemand>()
   for (const { name, service, priority, offered, running, waiting } of demands) {
     const key = JSON.stringify([service, name])
-    const sum = kinds.get(key) ?? { name, service, priority, offered: 0, running: 0, waiting: 0 }
+    const sum = sums.get(key) ?? { name, service, priority, offered: 0, running: 0, waiting: 0 }
     sum.offered += offered
     sum.running += running
     sum.waiting += waiting
-    kinds.set(key, sum)
+    sums.set(key, sum)
   }
-  return [...kinds.values()]
+  return [...sums.values()]
 }
--- a/packages/dispatch/src/targetnotice.ts
+++ b/packages/dispatch/src/targetnotice.ts
@@ -1,5 +1,5 @@
 /** A target's notice that it leaves: since when it is known, when the target is gone, and what may still start there. */
-import { NOTICE_CHANGE_MILLISECONDS } from './capacitydefaults.ts'
+import { MIN_NOTICE_CHANGE_MILLISECONDS } from './capacitydefaults.ts'
 import { START_TIMEOUT_MILLISECONDS } from './defaults.ts'
 
 /** What an announcement says of it. */
@@ -29,7 +29,7 @@
     this.#stayed ||= !leaving
     this.#leaving = leaving
     this.#goneAt = leaving && remaining !== undefined ? now + remaining : Number.NEGATIVE_INFINITY
-    return before !== this.#goneAt && !(Math.abs(before - this.#goneAt) < NOTICE_CHANGE_MILLISECONDS)
+    return before !== this.#goneAt && !(Math.abs(before - this.#goneAt) < MIN_NOTICE_CHANGE_MILLISECONDS)
   }
 
   /** The process was suspended, and its clock with it: how long ago the notice was acknowledged is not known any more. */
--- a/packages/dispatch/src/targetroom.ts
+++ b/packages/dispatch/src/targetroom.ts
@@ -1,7 +1,7 @@
 /** The room at the target beside an agent: what fits beside all that may run there, whoever asked for it. */
 import type { HeldTask, HeldTasks } from './heldtasks.ts'
 import type { Resources } from './resources.ts'
-import { RUNS_LEFT_REMEMBERED } from './capacitydefaults.ts'
+import { MAX_ENDED_RUNS } from './capacitydefaults.ts'
 import { addTo, fits, NO_RESOURCES } from './resources.ts'
 
 export interface TargetRoomParts {
@@ -131,7 +131,7 @@
   #remember (task: string, left: Left): void {
     this.#left.delete(task)
     this.#left.set(task, left)
-    if (this.#left.size <= RUNS_LEFT_REMEMBERED) return
+    if (this.#left.size <= MAX_ENDED_RUNS) return
     const oldest = this.#left.keys().next().value
     if (oldest !== undefined) this.#left.delete(oldest)
   }
--- a/packages/dispatch/src/taskends.ts
+++ b/packages/dispatch/src/taskends.ts
@@ -1,4 +1,7 @@
-/** What follows at an entry when one start of a task has ended, or crawls: done, started again, apart from others, or given up. */
+/**
+ * Decides what follows when one start of a task has ended or progresses too slowly: the task is done, started again,
+ * isolated from others, or its job fails.
+ */
 import type { Admission } from './admission.ts'
 import type { CrashSuspects } from './crashsuspects.ts'
 import type { Answer } from './entrytypes.ts'
@@ -14,118 +17,118 @@
 import { Cause, Isolation, Outcome } from './messages.ts'
 import { NEVER } from './progress.ts'
 
-const ISOLATION: Readonly<Record<CrashVerdict, Isolation>> = {
+const ISOLATION_BY_VERDICT: Readonly<Record<CrashVerdict, Isolation>> = {
   [CrashVerdict.Free]: Isolation.None,
   [CrashVerdict.Apart]: Isolation.Apart,
   [CrashVerdict.Alone]: Isolation.Alone,
   [CrashVerdict.Withheld]: Isolation.Alone,
-  [CrashVerdict.GivenUp]: Isolation.Alone
+  [CrashVerdict.Blocked]: Isolation.Alone
 }
 
-export interface TaskEndsParts {
+export interface TaskEndsDependencies {
   policy: Policy
   fleet: Fleet
   admission: Admission
   suspects: CrashSuspects
-  /** Has the job's queued tasks placed. */
+  /** Queues the job so that its tasks are placed. */
   enqueue: (job: Job) => void
   close: (job: Job, answer: Answer, now: number) => void
   giveUp: (job: Job, reason: Reason, now: number) => void
-  /** The job is closed, and a task of it has gone. */
+  /** A task of a closed job has ended. */
   gone: (job: Job, now: number) => void
   note: (what: string, fields: Record<string, unknown>) => void
 }
 
 export class TaskEnds {
-  readonly #parts: TaskEndsParts
-  /** Jobs with tasks that wait until more is known of the targets that they were on. */
+  readonly #dependencies: TaskEndsDependencies
+  /** Jobs with tasks that are withheld until more is known about the targets that were lost under them. */
   readonly #withheld = new Set<Job>()
 
-  constructor (parts: TaskEndsParts) {
-    this.#parts = parts
+  constructor (dependencies: TaskEndsDependencies) {
+    this.#dependencies = dependencies
   }
 
   ended (agent: AgentView, placement: Placement, end: TaskEnd, now: number): void {
     const { task } = placement
     const { job } = task
     job.placed -= 1
-    if (job.state === JobState.Closed) return this.#parts.gone(job, now)
+    if (job.state === JobState.Closed) return this.#dependencies.gone(job, now)
     if (end.outcome === Outcome.Done) return this.#done(agent, placement, end, now)
     task.state = TaskState.Queued
-    this.#parts.note('task to be placed again', { job: job.request.id, task: task.name, attempt: end.attempt, agent: agent.name, outcome: end.outcome, cause: end.cause, ran: Math.round(end.ran) })
+    this.#dependencies.note('task to be placed again', { job: job.request.id, task: task.name, attempt: end.attempt, agent: agent.name, outcome: end.outcome, cause: end.cause, ran: Math.round(end.ran) })
     if (end.outcome === Outcome.Failed) {
       task.failures += 1
       task.avoid = agent.name
-      if (task.failures >= job.request.queue.attempts) return this.#parts.close(job, failed(Reason.TaskFailed), now)
+      if (task.failures >= job.request.queue.attempts) return this.#dependencies.close(job, failed(Reason.TaskFailed), now)
     } else if (end.cause !== Cause.Evacuated) {
       if (end.cause === Cause.Crashed) task.avoid = agent.name
       task.refusals += 1
-      if (task.refusals > REFUSALS_LIMIT) return this.#parts.giveUp(job, Reason.NoTarget, now)
+      if (task.refusals > REFUSALS_LIMIT) return this.#dependencies.giveUp(job, Reason.NoTarget, now)
     }
     this.place(job, now)
   }
 
   /**
-   * Moves a task that stands still, or crawls at a slow target, when it would end sooner elsewhere.
-   * One that crawls is moved once: it may also have been estimated far too short.
+   * Moves a task that makes no progress, or is slow at a slow target, if it would end sooner elsewhere. A slow task is
+   * moved only once, since its run time may have been estimated far too short.
    */
   slow (agent: AgentView, placement: Placement, slow: SlowTask, now: number): void {
     const { task } = placement
-    if (!this.#parts.policy.movesSlow || placement.stopping || task.state !== TaskState.Placed) return
+    if (!this.#dependencies.policy.movesSlow || placement.stopping || task.state !== TaskState.Placed) return
     if (slow.remaining !== NEVER && (task.moved || slow.remaining < placement.expected + MOVE_GAIN_MILLISECONDS)) return
     task.moved = true
-    this.#parts.note('task moved', { job: task.job.request.id, task: task.name, agent: agent.name, remaining: Math.round(slow.remaining), expected: Math.round(placement.expected) })
-    if (slow.remaining === NEVER) this.#parts.fleet.noteStuck(agent, now)
+    this.#dependencies.note('task moved', { job: task.job.request.id, task: task.name, agent: agent.name, remaining: Math.round(slow.remaining), expected: Math.round(placement.expected) })
+    if (slow.remaining === NEVER) this.#dependencies.fleet.noteStuck(agent, now)
     task.avoid = agent.name
-    this.#parts.fleet.stop(agent, [placement])
+    this.#dependencies.fleet.stop(agent, [placement])
   }
 
-  /** Has the tasks of an open job placed whose turn has come; a job with a task that crashes its targets is answered as failed. */
+  /** Queues the ready tasks of an open job. The job fails if one of its tasks is blocked for crashing targets. */
   place (job: Job, now: number): void {
     for (const task of job.tasks) {
       if (task.state !== TaskState.Queued && task.state !== TaskState.Withheld) continue
-      if (this.#judge(task, now) === CrashVerdict.GivenUp) return this.#parts.close(job, failed(Reason.TaskCrashes), now)
+      if (this.#updateVerdict(task, now) === CrashVerdict.Blocked) return this.#dependencies.close(job, failed(Reason.TaskCrashes), now)
     }
     if (job.tasks.some(({ state }) => state === TaskState.Withheld)) this.#withheld.add(job)
-    if (job.tasks.some(({ state }) => state === TaskState.Queued)) this.#parts.enqueue(job)
+    if (job.tasks.some(({ state }) => state === TaskState.Queued)) this.#dependencies.enqueue(job)
   }
 
   tick (now: number): void {
-    this.#parts.suspects.tick(now)
+    this.#dependencies.suspects.tick(now)
     for (const job of [...this.#withheld]) {
       this.#withheld.delete(job)
       if (job.state === JobState.Open) this.place(job, now)
     }
   }
 
-  #judge (task: Task, now: number): CrashVerdict {
-    const verdict = this.#parts.suspects.verdict(task.name, now)
-    if (verdict !== CrashVerdict.Free) this.#noteVerdict(task, verdict)
-    task.isolation = ISOLATION[verdict]
+  #updateVerdict (task: Task, now: number): CrashVerdict {
+    const verdict = this.#dependencies.suspects.verdict(task.name, now)
+    if (verdict !== CrashVerdict.Free) this.#logVerdict(task, verdict)
+    task.isolation = ISOLATION_BY_VERDICT[verdict]
     task.state = verdict === CrashVerdict.Withheld ? TaskState.Withheld : TaskState.Queued
     return verdict
   }
 
-  /** One line for each change of what is believed of a task. */
-  #noteVerdict (task: Task, verdict: CrashVerdict): void {
-    const { suspects, note } = this.#parts
+  /** Logs each change of a task's verdict once. */
+  #logVerdict (task: Task, verdict: CrashVerdict): void {
+    const { suspects, note } = this.#dependencies
     const fields = (): Record<string, unknown> => ({ job: task.job.request.id, task: task.name, verdict, losses: suspects.evidenceOf(task.name) })
-    if (verdict === CrashVerdict.GivenUp) {
-      suspects.noteConviction()
-      return note('task given up', fields())
+    if (verdict === CrashVerdict.Blocked) {
+      suspects.noteBlocked()
+      return note('task blocked for crashing targets', fields())
     }
-    const known = verdict === CrashVerdict.Withheld ? task.state === TaskState.Withheld : task.isolation === ISOLATION[verdict]
-    if (!known) note('task suspected', fields())
+    const known = verdict === CrashVerdict.Withheld ? task.state === TaskState.Withheld : task.isolation === ISOLATION_BY_VERDICT[verdict]
+    if (!known) note('task suspected of crashing targets', fields())
   }
 
   #done (agent: AgentView, { task }: Placement, end: TaskEnd, now: number): void {
     const { job } = task
     const { queue, steps } = job.request
-    this.#parts.admission.learn(queue, steps[task.step] as Step, end.ran * agent.speed)
+    this.#dependencies.admission.learn(queue, steps[task.step] as Step, end.ran * agent.speed)
     const unblocked = job.finish(task)
-    if (job.done) return this.#parts.close(job, { kind: AnswerKind.Completed, reason: Reason.None, retryAfter: 0 }, now)
+    if (job.done) return this.#dependencies.close(job, { kind: AnswerKind.Completed, reason: Reason.None, retryAfter: 0 }, now)
     if (!unblocked) return
-    this.#parts.admission.estimate(job, now)
+    this.#dependencies.admission.estimate(job, now)
     this.place(job, now)
   }
 }
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -8,7 +8,7 @@
 import type { TargetRoom } from './targetroom.ts'
 import type { TargetWatch } from './targetwatch.ts'
 import { RunEnd, StartAnswer } from './agenttypes.ts'
-import { STRAY_MILLISECONDS } from './crashdefaults.ts'
+import { ORPHANED_RUN_MILLISECONDS } from './crashdefaults.ts'
 import { STOP_TIMEOUT_MILLISECONDS, STOPS_BEFORE_LAPSE } from './defaults.ts'
 import { Stage } from './heldtasks.ts'
 import { Cause, Outcome } from './messages.ts'
@@ -216,7 +216,7 @@
     }
     this.#strays = strays
     this.#held.hasStrays = strays.size > 0
-    this.#held.strayStays = [...strays.values()].some(since => now - since >= STRAY_MILLISECONDS)
+    this.#held.strayStays = [...strays.values()].some(since => now - since >= ORPHANED_RUN_MILLISECONDS)
     this.#parts.room.settle(runs, sent, now)
     if (ended.length < ENDS_PER_POLL) {
       for (const held of this.#held.all()) if (!runs.has(runKey(held.order.task, held.run))) this.#absent(held, sent, now)
--- a/packages/dispatch/test/cancellations.test.ts
+++ b/packages/dispatch/test/cancellations.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { StartAnswer } from '../src/agenttypes.ts'
-import { CANCELLATION_MEMORY_MILLISECONDS, CANCELLATIONS_REMEMBERED, STRAY_MILLISECONDS } from '../src/crashdefaults.ts'
+import { CANCELLATION_RETENTION_MILLISECONDS, MAX_CANCELLATIONS, ORPHANED_RUN_MILLISECONDS } from '../src/crashdefaults.ts'
 import { AgentBench, BOUNDS, order } from './agentbench.ts'
 import { EntryBench } from './entrybench.ts'
 
@@ -11,8 +11,8 @@
   bench.do({ type: 'cancelAsked', request: CANCEL, id })
 }
 
-// Guards against a caller that submits again what it, or another holder of the id, has cancelled meanwhile.
-test('a cancelled job that is submitted again is not begun', () => {
+// A caller submits a job again that it, or another holder of the id, has cancelled meanwhile.
+test('a cancelled job that is submitted again is not started', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   cancel(bench, 'job')
@@ -23,8 +23,8 @@
   expect([bench.starts(), bench.answers()]).toEqual([[], [[again, 'cancelled cancelled']]])
 })
 
-// Guards against a submission that is overtaken by its cancellation.
-test('a job whose cancellation comes first is not begun', () => {
+// The cancellation overtakes the submission.
+test('a job whose cancellation arrives first is not started', () => {
   const bench = EntryBench.withAgents('one')
   cancel(bench, 'job')
   expect(bench.answers()).toEqual([[CANCEL, 'unknown']])
@@ -32,8 +32,9 @@
   expect(bench.starts()).toEqual([])
 })
 
-// Guards against a submission that waits until the tasks of the one before have stopped: it was begun after the cancellation.
-test('a further submission that waits is cancelled with its job', () => {
+// A second submission waits until the tasks of the first have stopped. Without the guard it is started after the
+// cancellation.
+test('a repeated submission that waits is cancelled with its job', () => {
   const bench = EntryBench.withAgents('one')
   const first = bench.submit('job')
   bench.do({ type: 'requestGone', request: first })
@@ -45,17 +46,17 @@
   expect(bench.starts()).toEqual([])
 })
 
-// Guards against a cancellation that reaches another entry than the one that runs the job.
-test('a cancellation that another entry tells of stops the job here', () => {
+// The cancellation reaches another entry than the one that runs the job.
+test('a cancellation sent by another entry stops the job here', () => {
   const bench = EntryBench.withAgents('one')
   bench.peer('other')
   const request = bench.submit('job')
-  bench.hear('other', { type: 'cancel', jobs: [{ job: 'job', ago: 5 }] })
+  bench.receive('other', { type: 'cancel', jobs: [{ job: 'job', ago: 5 }] })
   expect([bench.stops(), bench.answers()]).toEqual([['one job.0.0'], [[request, 'cancelled cancelled']]])
 })
 
-// Guards against an entry that is away for a moment, or starts after the cancellation.
-test('other entries are told of a cancellation at once, and those that link later', () => {
+// The other entry is away for a moment, or starts after the cancellation.
+test('a cancellation is sent to linked entries at once, and to others when they link', () => {
   const bench = EntryBench.withAgents('one')
   bench.peer('first')
   bench.take()
@@ -67,23 +68,23 @@
   expect(cancels('second')).toEqual([{ type: 'cancel', jobs: [{ job: 'job', ago: 200 }] }])
 })
 
-test('a cancellation that is heard is not told on to the entries that are linked', () => {
+test('a received cancellation is not forwarded to linked entries', () => {
   const bench = EntryBench.withAgents('one')
   for (const peer of ['first', 'second']) bench.peer(peer)
   bench.take()
-  bench.hear('first', { type: 'cancel', jobs: [{ job: 'job', ago: 0 }] })
+  bench.receive('first', { type: 'cancel', jobs: [{ job: 'job', ago: 0 }] })
   expect(bench.told('second').filter(({ type }) => type === 'cancel')).toEqual([])
 })
 
-test('cancellations are forgotten after a while, and only so many are remembered', () => {
+test('cancellations expire, and their number is bounded', () => {
   const bench = EntryBench.withAgents('one')
-  for (let number = 0; number <= CANCELLATIONS_REMEMBERED; number += 1) cancel(bench, `job${number}`)
-  expect(bench.entry.status().cancelled).toEqual(CANCELLATIONS_REMEMBERED)
-  bench.pass(CANCELLATION_MEMORY_MILLISECONDS)
+  for (let number = 0; number <= MAX_CANCELLATIONS; number += 1) cancel(bench, `job${number}`)
+  expect(bench.entry.status().cancelled).toEqual(MAX_CANCELLATIONS)
+  bench.pass(CANCELLATION_RETENTION_MILLISECONDS)
   expect(bench.entry.status().cancelled).toEqual(0)
 })
 
-// Guards against a link that breaks with the stop on it: the task ran to its end.
+// The link breaks and loses the stop; without another stop the task runs to its end.
 test('stops are sent again on a new link', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
@@ -96,8 +97,8 @@
 
 // Agents
 
-/** An agent with a task of its own, beside which a run is listed that it did not ask for: an order carried out late. */
-function withStray (milliseconds: number): AgentBench {
+/** An agent with a task of its own, beside which an orphaned run is listed: a start that was carried out late. */
+function withOrphanedRun (milliseconds: number): AgentBench {
   const bench = AgentBench.ready()
   bench.run('own')
   for (let passed = 0; passed <= milliseconds; passed += 50) {
@@ -108,13 +109,13 @@
   return bench
 }
 
-test('a run that nobody asked for is ordered to stop with each poll', () => {
-  expect(withStray(100).of('stop').map(({ task, run }) => [task, run])).toEqual([['stray', 3], ['stray', 3], ['stray', 3]])
+test('an orphaned run is ordered to stop with each poll', () => {
+  expect(withOrphanedRun(100).of('stop').map(({ task, run }) => [task, run])).toEqual([['stray', 3], ['stray', 3], ['stray', 3]])
 })
 
-// Guards against a stray run whose stops are all lost, under a lease that other tasks keep alive.
-test('a run that stays though it is ordered to stop ends with the lease', () => {
-  const bench = withStray(STRAY_MILLISECONDS)
+// All stops of an orphaned run are lost, and other tasks keep the lease alive.
+test('an orphaned run that does not stop ends with the lease', () => {
+  const bench = withOrphanedRun(ORPHANED_RUN_MILLISECONDS)
   bench.take()
   bench.start([order('next')])
   bench.polled([{ task: 'own', run: 1, percent: 9 }, { task: 'stray', run: 3, percent: 0 }])
@@ -122,9 +123,10 @@
   expect([bench.of('start').length, bench.of('poll').some(({ deadline }) => deadline !== undefined)]).toEqual([0, false])
 })
 
-// Guards against a target that is offered while every start there is turned down: each try cost a job one of those that it has.
-test('a target whose lease has to end is offered to nobody until the run has gone', () => {
-  const bench = withStray(STRAY_MILLISECONDS)
+// While the lease runs out every start at the target is refused. Offering the target would cost jobs their limited
+// attempts.
+test('a target whose lease has to expire is announced as leaving until the run has gone', () => {
+  const bench = withOrphanedRun(ORPHANED_RUN_MILLISECONDS)
   const offered = (): unknown[] => bench.sent('announce').map(message => message.type === 'announce' && message.target?.leaving)
   bench.polled([{ task: 'own', run: 1, percent: 9 }, { task: 'stray', run: 3, percent: 0 }])
   expect(offered().at(-1)).toEqual(true)
@@ -134,7 +136,7 @@
 })
 
 test('when the run has gone the lease is renewed again', () => {
-  const bench = withStray(STRAY_MILLISECONDS)
+  const bench = withOrphanedRun(ORPHANED_RUN_MILLISECONDS)
   bench.polled([{ task: 'own', run: 1, percent: 9 }])
   bench.now += BOUNDS.stop
   bench.take()
@@ -143,8 +145,8 @@
   expect([bench.of('start').length, bench.ends()]).toEqual([1, []])
 })
 
-// Guards against two listed runs of one task, of which only the last counted: the own one passed for lapsed while it ran.
-test('a task goes on beside a stray run of the same task', () => {
+// Two runs of one task are listed. If only the last counts, the agent's own run is taken for expired while it runs.
+test('a task continues beside an orphaned run of the same task', () => {
   const bench = AgentBench.ready()
   bench.run('own')
   bench.now += 10
--- a/packages/dispatch/test/capacitychanges.test.ts
+++ b/packages/dispatch/test/capacitychanges.test.ts
@@ -1,4 +1,4 @@
-/** Capacity that shrinks and grows under running tasks, at targets that start whatever they are told. */
+/** Targets whose capacity changes while tasks run. The targets of these tests accept every start. */
 import type { Resources } from '../src/resources.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
@@ -7,12 +7,12 @@
 import { AgentBench, BOUNDS, ENTRY, NEW_ID_EACH_LIFE, order, TARGET } from './agentbench.ts'
 import { EntryBench, NO_LOAD, step } from './entrybench.ts'
 
-/** A task of the bench takes 2000. */
+/** Capacity with the given processors; a task of the bench needs 2000. */
 function size (cpu: number): { capacity: Resources } {
   return { capacity: { cpu, memory: 1000, accelerators: 0 } }
 }
 
-/** Starts a task, and tells how that ended at once; nothing when it was sent to the target. */
+/** Starts a task and returns its immediate ends; empty when the start was sent to the target. */
 function tryStart (bench: AgentBench, task: string): string[] {
   bench.take()
   bench.echo()
@@ -24,7 +24,7 @@
   return tasks.map(task => ({ task, run: 1, percent: 10 }))
 }
 
-test('a target that has shrunk starts no more than it has left', () => {
+test('no more is started at a shrunk target than it has capacity left', () => {
   const bench = AgentBench.ready()
   bench.run('a')
   bench.run('b')
@@ -32,7 +32,7 @@
   expect(tryStart(bench, 'c')).toEqual(['c notStarted full'])
 })
 
-test('what runs goes on when its target shrinks below it', () => {
+test('running tasks continue when their target shrinks below their needs', () => {
   const bench = AgentBench.ready()
   bench.run('a')
   bench.run('b')
@@ -42,8 +42,8 @@
   expect(bench.ends()).toEqual([])
 })
 
-// A stop takes the target up to 50 ms, in which the task holds its room.
-test('what is being stopped counts until its end is listed', () => {
+// A stop takes the target up to 50 ms, during which the task holds its capacity.
+test('a task that is being stopped holds its capacity until its end is listed', () => {
   const bench = AgentBench.ready()
   bench.run('a')
   bench.seen(size(2000))
@@ -54,7 +54,7 @@
   expect(tryStart(bench, 'c')).toEqual([])
 })
 
-test('a start that is under way while the target shrinks counts, and is not stopped', () => {
+test('a start in transit while the target shrinks holds its capacity and is not stopped', () => {
   const bench = AgentBench.ready()
   bench.start([order('a')])
   bench.seen(size(2000))
@@ -63,8 +63,9 @@
   expect(tryStart(bench, 'b')).toEqual(['b notStarted full'])
 })
 
-// The target refuses a run number as old while it shrinks; sent again with a higher one, the start took it over its room.
-test('a start refused as old is not repeated where the room is gone', () => {
+// The target refuses a run number as old while it shrinks. Repeating the start with a higher number would exceed its
+// capacity.
+test('a start refused as old is not repeated when the capacity is gone', () => {
   const bench = AgentBench.ready()
   bench.start([order('a')])
   bench.seen(size(1000))
@@ -74,8 +75,8 @@
   expect(bench.ends()).toEqual(['a notStarted full'])
 })
 
-// Heartbeats overtake each other: the earlier one gave room back that is gone.
-test('a heartbeat that comes late does not bring room back', () => {
+// Heartbeats may arrive out of order; an older one must not restore capacity that is gone.
+test('a late heartbeat does not restore capacity', () => {
   const bench = AgentBench.ready()
   bench.run('a')
   bench.do({ type: 'targetSeen', facts: { ...TARGET, ...size(2000) }, sequence: 9, clock: bench.now })
@@ -83,8 +84,8 @@
   expect(tryStart(bench, 'b')).toEqual(['b notStarted full'])
 })
 
-// A run of which nobody here knows what it needs may hold the whole target.
-test('beside a run that nobody knows nothing starts until it is gone', () => {
+// The needs of an unknown run are not known; it may use the whole target.
+test('nothing is started beside an unknown run until it is gone', () => {
   const bench = AgentBench.ready()
   bench.pass(1000)
   bench.polled(listed('unknown'))
@@ -96,8 +97,9 @@
   expect(tryStart(bench, 'c')).toEqual([])
 })
 
-// The lease lapsed here, and the target runs a task on: without its room the next start went over the capacity.
-test('a run that counts as gone here and is listed all the same holds its room', () => {
+// The lease expires at the agent while the target still runs the task. If its capacity counted as free, the next start
+// would exceed the target's capacity.
+test('a run that counts as gone but is still listed holds its capacity', () => {
   const bench = AgentBench.ready({}, NEW_ID_EACH_LIFE)
   bench.seen(size(3000))
   bench.run('a')
@@ -110,7 +112,7 @@
 })
 
 // Two polls overlap while answers are lost, and the first may be answered last.
-test('a late answer to a poll that lists an ended run takes no room', () => {
+test('an ended run in a late poll answer holds no capacity', () => {
   const bench = AgentBench.ready()
   bench.seen(size(2000))
   bench.run('a')
@@ -119,8 +121,8 @@
   expect(tryStart(bench, 'b')).toEqual([])
 })
 
-// The start was carried out, its answer lost, and the stop may take until `stop` later; no poll need show that.
-test('the room of a start that was taken back is free once the stop must have ended', () => {
+// The start was carried out but its answer lost, and the stop may take up to `stop`; polls need not list the run.
+test('the capacity of a cancelled unconfirmed start is free once the stop must have ended', () => {
   const bench = AgentBench.ready()
   bench.seen(size(2000))
   bench.start([order('a')])
@@ -133,27 +135,28 @@
   expect(tryStart(bench, 'c')).toEqual([])
 })
 
-/** Processors that others hold, as the entry was told last. */
-function toldOthers (bench: AgentBench): number | undefined {
+/** Processors held by others, as last reported to the entry. */
+function reportedOthers (bench: AgentBench): number | undefined {
   const last = bench.of('send').map(({ message }) => message).filter(message => 'load' in message).at(-1)
   return last !== undefined && 'load' in last ? last.load.others.cpu : undefined
 }
 
-// Entries that knew nothing of it placed the task there again, where it was refused: a tenth of all starts while orders are lost.
-test('entries are told of room that no task holds, and when it is free', () => {
+// Without this report entries place tasks there again, where they are refused: a tenth of all starts while orders are
+// lost.
+test('capacity held without a task is reported to entries, and also when it becomes free', () => {
   const bench = AgentBench.ready()
   bench.do({ type: 'entryMessage', entry: ENTRY, message: { type: 'role', role: RoomRole.Allocates } })
   bench.start([order('a')])
   bench.startAnswered('a', StartAnswer.Silent)
   bench.do({ type: 'stopAnswered', instance: TARGET.instance, task: 'a', run: 1, answered: true })
   bench.polled()
-  expect(toldOthers(bench)).toEqual(2000)
+  expect(reportedOthers(bench)).toEqual(2000)
   bench.take()
   bench.pass(BOUNDS.stop)
-  expect(toldOthers(bench)).toEqual(0)
+  expect(reportedOthers(bench)).toEqual(0)
 })
 
-test('entries hear of a changed capacity with the heartbeat that tells it', () => {
+test('a changed capacity is reported to entries with the heartbeat that carries it', () => {
   const bench = AgentBench.ready()
   for (const cpu of [4000, 9000]) {
     bench.seen(size(cpu))
@@ -164,8 +167,9 @@
   expect(bench.sent('announce')).toEqual([])
 })
 
-// A restarted agent goes by what is kept until the first heartbeat: too much is a danger, too little is not.
-test('what is kept of the target is written anew when it shrinks, not when it grows', () => {
+// A restarted agent uses the stored capacity until the first heartbeat: too large a value is unsafe, too small a value
+// is not.
+test('the stored target facts are rewritten when the target shrinks, not when it grows', () => {
   const bench = AgentBench.ready()
   bench.seen(size(9000))
   expect(bench.of('rememberTarget')).toEqual([])
@@ -173,7 +177,7 @@
   expect(bench.of('rememberTarget').map(({ facts }) => facts.capacity.cpu)).toEqual([4000])
 })
 
-test('an agent that restarts during a shrink starts no more than the kept capacity, then than the heard one', () => {
+test('an agent restarted during a shrink applies the stored capacity, then the received one', () => {
   const bench = new AgentBench()
   bench.do({ type: 'targetRemembered', facts: { ...TARGET, ...size(4000) } })
   bench.link()
@@ -189,7 +193,7 @@
   bench.do({ type: 'agentMessage', agent, message: { type: 'announce', target, held, load: NO_LOAD } })
 }
 
-test('a job that waits for room is served when its target grows', () => {
+test('a job that waits for capacity is served when its target grows', () => {
   const bench = EntryBench.withAgents('agent-1')
   bench.submit('a', [step(4)])
   bench.submit('b', [step(1)])
@@ -198,7 +202,7 @@
   expect(bench.starts().slice(4)).toEqual(['agent-1 b.0.0 1'])
 })
 
-// Refused as one that can never run, it was told to come back in five seconds.
+// Guards against refusing the job as never runnable, with a retry after five seconds.
 test('a job waits while its only target has shrunk below it', () => {
   const bench = EntryBench.withAgents('agent-1')
   announce(bench, 'agent-1', 1000)
@@ -208,21 +212,21 @@
   expect(bench.starts()).toEqual(['agent-1 a.0.0 1'])
 })
 
-test('an entry places nothing over a capacity that has shrunk', () => {
+test('an entry places no more than a shrunk capacity allows', () => {
   const bench = EntryBench.withAgents('agent-1', 'agent-2')
   announce(bench, 'agent-1', 1000)
   bench.submit('a', [step(4)])
   expect(bench.starts().every(start => start.startsWith('agent-2'))).toEqual(true)
 })
 
-test('another entry that waits for room is granted it when a target grows', () => {
+test('another entry that waits for capacity gets a grant when a target grows', () => {
   const bench = EntryBench.withAgents('agent-1')
   bench.pass(600, ['agent-1'])
   bench.peer('weaker', -5)
   bench.pass(100, ['agent-1'])
   bench.submit('own', [step(4)])
   const ask = { type: 'ask' as const, group: '', service: 'checks', job: 'j', within: 500, waits: true, except: [], steps: [{ ...step(1), index: 0, expected: 300, endBy: 400, tasks: [{ name: 'j.0.0', avoid: '' }], placed: [] }] }
-  bench.hear('weaker', ask)
+  bench.receive('weaker', ask)
   expect(bench.told('weaker').filter(({ type }) => type === 'grant')).toEqual([])
   announce(bench, 'agent-1', 10_000)
   expect(bench.told('weaker').filter(({ type }) => type === 'grant').length).toEqual(1)
