--- a/packages/dispatch/test/capacityforecast.test.ts
+++ b/packages/dispatch/test/capacityforecast.test.ts
@@ -1,4 +1,4 @@
-/** What an entry expects of the room at its targets. */
+/** The capacity that an entry expects at its targets, now and later. */
 import type { TargetFacts } from '../src/messages.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
@@ -20,7 +20,7 @@
   return view
 }
 
-/** Total and free of the bench's service, in whole cores. */
+/** Total and free cores of the bench's service. */
 function cores (forecast: CapacityForecast, agents: readonly AgentView[], ahead: number, now = NOW): [total: number, free: number] {
   const { total, free } = forecast.at(agents, TARGET.service, ahead, now)
   return [total / 1000, free / 1000]
@@ -41,7 +41,7 @@
   expect([0, 5000].map(ahead => cores(new CapacityForecast(), [evacuated], ahead))).toEqual([[0, 0], [0, 0]])
 })
 
-test('room that own tasks hold is free when they are expected to have ended', () => {
+test('capacity held by own tasks is free when they are expected to have ended', () => {
   const view = agent('one')
   const [task] = new Job({ id: 'a', queue: QUEUE, payload: '', steps: [step(1)], remaining: 1000 }, NOW).tasks
   if (task === undefined) throw new Error('a job without tasks')
@@ -55,7 +55,7 @@
   expect(cores(new CapacityForecast(), [view], 0)).toEqual([3, 3])
 })
 
-/** The agent is away from one time to another. */
+/** The agent is away between two times. */
 function away (forecast: CapacityForecast, view: AgentView, from: number, to = Infinity): void {
   forecast.note(view, from)
   view.linked = false
@@ -90,7 +90,7 @@
   expect(cores(forecast, [one, two], 5000)).toEqual([8, 8])
 })
 
-// An agent states no remaining time any more once nothing may start at its leaving target.
+// An agent reports no remaining time once nothing may start at its leaving target.
 test('a target that took no more tasks before it left as announced is not expected back because lost ones were', () => {
   const forecast = new CapacityForecast()
   const [one, two] = [agent('one'), agent('two', { leaving: true, remaining: 100 })]
@@ -112,7 +112,7 @@
   expect(cores(forecast, [one, two], 600)).toEqual([16, 16])
 })
 
-test('a target of a machine that is forgotten is not expected back', () => {
+test('a target of a removed agent is not expected back', () => {
   const forecast = new CapacityForecast()
   const [one, two] = [agent('one'), agent('two')]
   away(forecast, one, 0, 600)
--- a/packages/dispatch/test/crashes.test.ts
+++ b/packages/dispatch/test/crashes.test.ts
@@ -11,27 +11,27 @@
 const AGENTS = ['a', 'b', 'c', 'd', 'e', 'f']
 
 function entry (): EntryBench {
-  return EntryBench.under(ISOLATES, ...AGENTS)
+  return EntryBench.withPolicy(ISOLATES, ...AGENTS)
 }
 
-/** An agent tells of tasks under which its target was lost. */
+/** An agent reports tasks that were on its target when it was lost. */
 function lost (bench: EntryBench, agent: string, tasks: string[], changes: Partial<CrashRecord> = {}): void {
   const records = tasks.map(task => ({ task, instance: `${agent}-target`, beside: tasks.length - 1, evidence: CrashEvidence.Crashed, ago: 0, ...changes }))
   bench.do({ type: 'agentMessage', agent, message: { type: 'crashes', records } })
 }
 
-/** The target of an agent is gone; its tasks still are to end. */
+/** The agent announces that its target is gone; the ends of its tasks follow. */
 function goes (bench: EntryBench, agent: string): void {
   bench.do({ type: 'agentMessage', agent, message: { type: 'announce', target: undefined, held: [], load: NO_LOAD } })
 }
 
-/** Where a task was started last, and under which number. */
+/** Agent and attempt of a task's latest start. */
 function lastStart (bench: EntryBench, task: string): { agent: string, attempt: number } {
   const [agent = '', , attempt = ''] = bench.starts().filter(start => start.includes(` ${task} `)).at(-1)?.split(' ') ?? []
   return { agent, attempt: Number(attempt) }
 }
 
-/** The target under a task crashes, with others beside it. */
+/** The target of a task crashes, with others running beside it. */
 function crash (bench: EntryBench, task: string, beside: string[] = []): string {
   const { agent, attempt } = lastStart(bench, task)
   lost(bench, agent, [task, ...beside])
@@ -47,7 +47,7 @@
 const OTHERS = ['x.0.0', 'x.0.1', 'x.0.2', 'x.0.3']
 
 test('tasks that were on a target when it crashed are started again at different targets', () => {
-  const bench = EntryBench.under(ISOLATES, 'a')
+  const bench = EntryBench.withPolicy(ISOLATES, 'a')
   bench.submit('one', [step(2)])
   for (const other of ['b', 'c']) bench.link(other)
   lost(bench, 'a', ['one.0.0', 'one.0.1'])
@@ -57,7 +57,7 @@
   expect(isolations(bench)).toEqual([Isolation.None, Isolation.None, Isolation.Apart, Isolation.Apart])
 })
 
-test('a task that crashes two targets nearly alone is given up, and its job fails', () => {
+test('a task that crashes two targets with hardly anything beside it is blocked, and its job fails', () => {
   const bench = entry()
   const request = bench.submit('one')
   crash(bench, 'one.0.0', OTHERS)
@@ -68,9 +68,10 @@
   expect(bench.entry.status().convictions).toEqual(1)
 })
 
-// Guards against a target that is back under its id at once, and empty: the emptiest one is the one that the suspect crashed.
-test('a suspect goes to another target than the one that was lost under it', () => {
-  const bench = EntryBench.under(ISOLATES, 'a')
+// A crashed target may be back at once under the same id, and empty. As the emptiest one it must not be chosen for the
+// suspect that crashed it.
+test('a suspect is started at another target than the one that was lost under it', () => {
+  const bench = EntryBench.withPolicy(ISOLATES, 'a')
   bench.submit('one')
   bench.link('b')
   bench.ping('b', 6000)
@@ -80,8 +81,8 @@
   expect(lastStart(bench, 'one.0.0')).toEqual({ agent: 'b', attempt: 2 })
 })
 
-// Guards against innocents that pay for a neighbour: a fresh task may have crashed the second target as well.
-test('a task beside which others ran at both crashes is not convicted but started alone', () => {
+// Guards against blocking an innocent task: a task that was newly placed beside it may have crashed the second target.
+test('a task beside which others ran at both crashes is not blocked but started alone', () => {
   const bench = entry()
   bench.submit('one')
   crash(bench, 'one.0.0', OTHERS)
@@ -100,8 +101,8 @@
   expect(bench.answers()).toEqual([[request, 'failed taskCrashes']])
 })
 
-// Guards against a rack without power, whose targets go one after the other within a poll.
-test('targets that go down together convict nobody', () => {
+// Guards against blocking a task for a power loss of a rack, whose targets are lost one after the other within a poll.
+test('targets that crash together do not block a task', () => {
   const bench = entry()
   bench.submit('one')
   const first = crash(bench, 'one.0.0')
@@ -113,8 +114,8 @@
   expect(bench.starts().length).toEqual(3)
 })
 
-// Guards against a rack that falls silent, of which one target is back, and proved to have crashed, before the others.
-test('targets that fall silent together convict nobody when the first of them is back', () => {
+// The targets of a rack stop responding together, and one of them returns, with a confirmed crash, before the others.
+test('targets that stop responding together do not block a task when the first of them returns', () => {
   const bench = entry()
   bench.submit('one')
   const first = crash(bench, 'one.0.0', OTHERS)
@@ -129,8 +130,8 @@
   expect(bench.answers()).toEqual([])
 })
 
-// Guards against an entry that dies after the first crash: its caller comes back with the job through this one.
-test('a job that comes from an entry that died does not begin at no crashes', () => {
+// The first entry fails after the first crash, and the caller submits the job again through this one.
+test('earlier crashes count for a job that was submitted through a failed entry before', () => {
   const bench = entry()
   lost(bench, 'a', ['one.0.0', ...OTHERS], { ago: 1500 })
   const request = bench.submit('one')
@@ -142,8 +143,8 @@
   expect([request, bench.starts()]).toEqual([request, []])
 })
 
-// Guards against an agent that restarts and remembers nothing.
-test('an entry remembers the crashes that an earlier run of the agent told of', () => {
+// A restarted agent has lost its crash records.
+test('an entry keeps the crashes reported by an earlier incarnation of the agent', () => {
   const bench = entry()
   const request = bench.submit('one')
   const agent = crash(bench, 'one.0.0', OTHERS)
@@ -154,8 +155,8 @@
   expect(bench.answers()).toEqual([[request, 'failed taskCrashes']])
 })
 
-// Guards against a new target that is cut off: silence is no crash, and may turn out to be one later.
-test('a suspect whose new target is silent waits until that has answered, or proved to have crashed', () => {
+// The second target is cut off from the network: no response is not a crash, but may prove to be one later.
+test('a suspect whose new target is unresponsive is withheld until the target has answered, or has proved to have crashed', () => {
   for (const [evidence, starts, answers] of [[CrashEvidence.Answered, 3, []], [CrashEvidence.Crashed, 2, ['failed taskCrashes']]] as const) {
     const bench = entry()
     bench.submit('one')
@@ -172,7 +173,7 @@
   }
 })
 
-test('with the switch off crashes change nothing', () => {
+test('crashes change nothing when isolation is switched off', () => {
   const bench = EntryBench.withAgents(...AGENTS)
   bench.submit('one')
   for (let crashes = 0; crashes < 4; crashes += 1) crash(bench, 'one.0.0')
@@ -181,47 +182,47 @@
 
 // Agents
 
-/** Crashes that were told, and the causes of ends, in the order of the messages. */
-function told (bench: AgentBench): string[] {
+/** Reported crashes and the causes of ends, in the order of the messages. */
+function reported (bench: AgentBench): string[] {
   return bench.of('send').flatMap(({ message }) => {
     if (message.type === 'crashes') return message.records.map(({ task, beside, evidence }) => `${task} ${evidence} ${beside}`)
     return message.type === 'ends' ? message.ends.map(({ task, cause }) => `${task} ended ${cause}`) : []
   })
 }
 
-test('entries hear of a crash before the ends of the tasks that it took', () => {
+test('a crash is reported to entries before the ends of the tasks lost in it', () => {
   const bench = AgentBench.ready({ policy: ISOLATES })
   bench.run('one')
   bench.run('two')
   bench.polled([{ task: 'one', run: 1, percent: 5 }, { task: 'two', run: 1, percent: 5 }])
   bench.pollFailed(PollFailure.OtherInstance)
-  expect(told(bench)).toEqual(['one crashed 1', 'two crashed 1', 'one ended crashed', 'two ended crashed'])
+  expect(reported(bench)).toEqual(['one crashed 1', 'two crashed 1', 'one ended crashed', 'two ended crashed'])
 })
 
-test('a target that refused connections until its tasks lapsed crashed if another life follows', () => {
+test('a target that refused connections until its tasks expired has crashed if a new incarnation follows', () => {
   for (const [next, evidence] of [['target-2', ['one crashed 1', 'two crashed 1']], [TARGET.instance, []]] as const) {
     const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
     bench.run('one')
     bench.run('two')
     bench.pollFailed(PollFailure.NoListener)
     bench.pass(TIMINGS.lapse)
-    expect(told(bench)).toEqual(['one silent 1', 'two silent 1', 'one ended lapsed', 'two ended lapsed'])
+    expect(reported(bench)).toEqual(['one silent 1', 'two silent 1', 'one ended lapsed', 'two ended lapsed'])
     bench.take()
     bench.seen({ instance: next })
-    expect(told(bench)).toEqual([...evidence])
+    expect(reported(bench)).toEqual([...evidence])
   }
 })
 
-// Guards against a job that is given up for crashes of targets at which its task never began.
-test('a start for which the connection is refused is no crash under its task', () => {
+// Guards against failing a job for crashes of targets at which its task never began.
+test('a start whose connection is refused does not count as a crash under its task', () => {
   const bench = AgentBench.ready({ policy: ISOLATES })
   bench.start([order('one')])
   bench.startAnswered('one', StartAnswer.NoListener)
   bench.seen({ instance: 'target-2' })
-  expect(told(bench)).toEqual(['one ended unreachable'])
+  expect(reported(bench)).toEqual(['one ended unreachable'])
 })
 
-test('a target that refused connections until its tasks lapsed and answers again had not crashed', () => {
+test('a target that refused connections until its tasks expired, and answers again, has not crashed', () => {
   const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
   bench.run('one')
   bench.pollFailed(PollFailure.NoListener)
@@ -229,10 +230,10 @@
   bench.seen()
   bench.take()
   bench.polled()
-  expect(told(bench)).toEqual(['one answered 0'])
+  expect(reported(bench)).toEqual(['one answered 0'])
 })
 
-test('a target that leaves, or has told that it will, did not crash', () => {
+test('a target that leaves, or has announced that it will, has not crashed', () => {
   for (const leave of [(bench: AgentBench) => bench.do({ type: 'targetLeft', instance: TARGET.instance }), (bench: AgentBench) => bench.seen({ leaving: true })]) {
     const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
     bench.run('one')
@@ -240,12 +241,12 @@
     bench.pollFailed(PollFailure.NoListener)
     bench.pass(TIMINGS.lapse)
     bench.seen({ instance: 'target-2' })
-    expect(told(bench)).toEqual(['one ended lapsed'])
+    expect(reported(bench)).toEqual(['one ended lapsed'])
   }
 })
 
-// Guards against an entry that has just started, and against a lost link.
-test('an entry that links hears of the crashes before', () => {
+// Guards against entries that miss crashes because they have just started, or because a link was lost.
+test('earlier crashes are reported to an entry that links', () => {
   const bench = AgentBench.ready({ policy: ISOLATES })
   bench.run('one')
   bench.polled([{ task: 'one', run: 1, percent: 5 }])
@@ -256,21 +257,21 @@
   expect(bench.of('send').flatMap(({ entry, message }) => message.type === 'crashes' ? [entry, message.records.map(({ task, ago }) => [task, ago])] : [])).toEqual(['entry-2#a', [['one', 2000]]])
 })
 
-test('silence is told as such, and taken back or proved by what answers next', () => {
+test('an unresponsive target is reported as silent, and later reported as answered or crashed', () => {
   for (const [next, evidence] of [[(bench: AgentBench) => bench.polled(), 'answered'], [(bench: AgentBench) => bench.pollFailed(PollFailure.OtherInstance), 'crashed']] as const) {
     const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
     bench.run('one')
     bench.pollFailed(PollFailure.Silent)
     bench.pass(800)
-    expect(told(bench).slice(0, 1)).toEqual(['one silent 0'])
+    expect(reported(bench).slice(0, 1)).toEqual(['one silent 0'])
     bench.take()
     next(bench)
-    expect(told(bench).slice(0, 1)).toEqual([`one ${evidence} 0`])
+    expect(reported(bench).slice(0, 1)).toEqual([`one ${evidence} 0`])
   }
 })
 
-// Guards against a target that is back under its id, beside an agent that the entry does not know the memory of.
-test('an agent starts no task again under which two lives of its target crashed', () => {
+// The target returns under the same id, and entries may not have this agent's crash records.
+test('an agent refuses a task under which two incarnations of its target crashed', () => {
   const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
   for (const life of ['life-2', 'life-3']) {
     bench.echo()
@@ -286,7 +287,7 @@
   expect(bench.ends()).toEqual(['one notStarted crashed'])
 })
 
-test('two suspects are not started at one target, and nothing beside one that is to be alone', () => {
+test('an agent does not start two suspects together, or anything beside a task that must run alone', () => {
   const bench = AgentBench.ready({ policy: ISOLATES })
   bench.start([{ ...order('one'), isolation: Isolation.Apart }, { ...order('two'), isolation: Isolation.Apart }, order('three')])
   expect(bench.ends()).toEqual(['two notStarted full'])
@@ -299,8 +300,9 @@
   expect(load?.type === 'ping' ? load.load.others.cpu : 0).toEqual(8000)
 })
 
-// Guards against an entry that gives out the room and does not know of the suspects at it: they were turned down one by one.
-test('the entry that gives out the room keeps suspects of others apart, and the target of one that is to be alone free', () => {
+// The allocating entry must account for suspects of other entries: granting their targets leads to starts that are
+// refused one by one.
+test('the allocating entry keeps suspects of other entries apart, and grants nothing beside one that must run alone', () => {
   const bench = entry()
   bench.peer('other', -1)
   bench.pass(1000, AGENTS)
@@ -308,7 +310,7 @@
   const asked = (job: string, isolation?: Isolation): string => {
     const { needs, label, rack, perTarget } = step(1)
     const task = { name: `${job}.0.0`, avoid: '', ...(isolation === undefined ? {} : { isolation }) }
-    bench.hear('other', { type: 'ask', group: '', service: 'checks', job, within: 200, waits: true, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks: [task], placed: [] }], except: [] })
+    bench.receive('other', { type: 'ask', group: '', service: 'checks', job, within: 200, waits: true, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks: [task], placed: [] }], except: [] })
     const [granted] = bench.told('other').flatMap(message => message.type === 'grant' ? message.grants : []).slice(-1)
     return granted?.agent ?? ''
   }
--- a/packages/dispatch/test/entry.test.ts
+++ b/packages/dispatch/test/entry.test.ts
@@ -28,7 +28,7 @@
   expect(bench.starts().at(-1)).toEqual('one job.1.0 1')
 })
 
-test('tasks wait while no target has room, and go as soon as one has', () => {
+test('tasks wait while no target has free capacity, and start as soon as one has', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('first', [step(4)])
   bench.submit('second')
@@ -63,7 +63,7 @@
   expect(bench.stops()).toEqual(['one job.0.1'])
 })
 
-test('starts that came to nothing do not count as failures', () => {
+test('starts without a result do not count as failures', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   for (let attempt = 1; attempt <= 5; attempt += 1) {
@@ -74,9 +74,9 @@
   expect(bench.starts().at(-1)).toEqual('one job.0.0 6')
 })
 
-// A refused start was sent again at once, and again, between two machines: half a day's worth of
-// service went into it. What an agent says of its load must be enough, or it must be left alone.
-test('an agent that is full although it seems to have room is left until it is heard again', () => {
+// The agent refuses a start as full although its reported load shows free capacity. Repeating the start at once loops
+// between the two machines, which once used up half a day's worth of service.
+test('an agent that refuses as full is not used again before it reports its load', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   bench.end('one', 'job.0.0', Outcome.NotStarted, Cause.Full, 1)
@@ -86,9 +86,9 @@
   expect(bench.starts().length).toEqual(3)
 })
 
-// An agent is cut off: its tasks run on until it gives the entry up and stops them. A start
+// The agent is cut off: its tasks run until it gets no contact from the entry for long enough and stops them. A start
 // elsewhere before that would run them twice.
-test('tasks at a silent agent are placed again only when they must have ended', () => {
+test('tasks at an unresponsive agent are placed again only when they must have ended', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job')
   const silent = bench.starts()[0]?.split(' ')[0] as string
@@ -101,7 +101,7 @@
   expect(bench.now - echoed).toBeGreaterThanOrEqual(TIMINGS.silence)
 })
 
-test('a silent link is broken off, so that a new one is tried', () => {
+test('an unresponsive link is closed, so that a new one is tried', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   bench.pass(TIMINGS.contact - 50)
@@ -110,7 +110,7 @@
   expect(bench.unlinks()).toEqual(['one'])
 })
 
-test('a silent link without tasks is broken off when several pings are missing', () => {
+test('an unresponsive link without tasks is closed when several pings are missing', () => {
   const bench = EntryBench.withAgents('one')
   bench.pass(1500)
   expect(bench.unlinks()).toEqual([])
@@ -118,7 +118,7 @@
   expect(bench.unlinks()).toEqual(['one'])
 })
 
-test('an agent that is late with its pings gets nothing new', () => {
+test('an agent whose pings are late gets no new tasks', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('first', [step(8)])
   bench.take()
@@ -130,9 +130,9 @@
   expect(bench.starts().filter(start => start.startsWith('one'))).toEqual([])
 })
 
-// An agent without tasks pings seldom. Just before its next ping it is sent a task, and must not
-// count as silent at once for having been quiet before.
-test('an agent that was idle is not silent the moment it gets a task', () => {
+// An agent without tasks pings rarely. If it gets a task just before its next ping, the time before that task must not
+// count against it.
+test('an idle agent does not count as unresponsive when it gets a task', () => {
   const bench = EntryBench.withAgents('one')
   bench.pass(450)
   bench.submit('job', [step(2)])
@@ -141,7 +141,7 @@
   expect(bench.starts().length).toEqual(3)
 })
 
-test('an entry tells whether tasks wait for room', () => {
+test('echoes carry whether tasks wait for capacity', () => {
   const bench = EntryBench.withAgents('one')
   bench.ping('one')
   bench.submit('long', [step(5)])
@@ -150,8 +150,7 @@
   expect(echoes).toEqual([false, true])
 })
 
-// The connection was reset with an order on its way: the agent, the same run of it, does not know
-// the task, and never will.
+// The connection was reset and lost a start: the same incarnation of the agent does not hold the task, and never will.
 test('a task that the agent does not hold after a reset is placed again at once', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job', [step(2)])
@@ -160,9 +159,9 @@
   expect(bench.starts().slice(2)).toEqual(['one job.0.1 2'])
 })
 
-// A target was announced anew while an order was on its way: the list of tasks in it is older than
-// the order, and says nothing about it.
-test('a task that a later announcement does not name goes on', () => {
+// A target is announced again while a start is in transit: the list of tasks in the announcement is older than the
+// start.
+test('a task continues if a later announcement does not name it', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   const target = { instance: 'one-target', service: 'checks', dataCentre: 'one', capacity: { cpu: 8000, memory: 1000, accelerators: 0 }, labels: [], leaving: true }
@@ -172,9 +171,9 @@
   expect(bench.answers().length).toEqual(1)
 })
 
-// The agent was restarted beside a living worker. Until it has cleared the worker, the tasks of its
-// predecessor may be running there.
-test('tasks of an earlier run of the agent are placed again when its successor has a clear target', () => {
+// The agent was restarted while its target kept running. Tasks of the earlier incarnation may run there until the
+// target is cleared.
+test('tasks of an earlier agent incarnation are placed again when the new incarnation has cleared the target', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   bench.do({ type: 'agentUnlinked', agent: 'one' })
@@ -185,7 +184,7 @@
   expect(bench.starts().at(-1)).toEqual('one job.0.0 2')
 })
 
-test('an end that is told twice counts once', () => {
+test('an end that is sent twice counts once', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   const ends = [{ task: 'job.0.0', attempt: 1, outcome: Outcome.Failed, cause: Cause.None, ran: 10 }]
@@ -201,7 +200,7 @@
   expect(bench.answers()).toEqual([])
 })
 
-// A late agent may announce itself on a new link before it tells again what the link before had lost.
+// A delayed agent may announce itself on a new link before it repeats the ends that the previous link lost.
 test('an end of an earlier submission changes nothing for a later one', () => {
   const bench = EntryBench.withAgents('a')
   const request = bench.submit('job')
@@ -235,7 +234,7 @@
   expect(bench.answers()).toEqual([[second, 'completed']])
 })
 
-test('a submission of a completed job is answered from memory', () => {
+test('a repeated submission of a completed job gets the stored answer', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   bench.end('one', 'job.0.0')
@@ -245,9 +244,9 @@
   expect(bench.starts()).toEqual([])
 })
 
-// A caller goes and comes back while the tasks of its first submission are being stopped: started
-// at once, they would run beside their earlier runs.
-test('a job that comes back waits until its earlier tasks are gone', () => {
+// A caller disconnects and submits the job again while the tasks of its first submission are being stopped: started at
+// once, they would run beside their earlier runs.
+test('a job that is submitted again waits until its earlier tasks have ended', () => {
   const bench = EntryBench.withAgents('one', 'two')
   const first = bench.submit('job')
   const agent = bench.starts()[0]?.split(' ')[0] as string
@@ -268,7 +267,7 @@
   expect(bench.answers().slice(2)).toEqual([[91, 'unknown'], [92, 'unknown']])
 })
 
-test('a poll-up tells whether a job has begun', () => {
+test('a state request returns whether a job has started', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('first', [step(4)])
   bench.submit('second')
@@ -283,7 +282,7 @@
   expect(bench.answers()).toEqual([[request, 'refused neverRunnable']])
 })
 
-test('a job that waits too long among others is refused, with nothing started', () => {
+test('a job that waits too long among others is refused without a start', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('long', [step(4)])
   const late = bench.submit('late')
@@ -293,7 +292,7 @@
   expect(bench.answers()).toEqual([[late, 'refused overload']])
 })
 
-test('a late job is kept while nobody else waits', () => {
+test('a late job is kept while no other job waits', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('long', [step(4)])
   bench.submit('late')
@@ -303,9 +302,9 @@
   expect(bench.starts().at(-1)).toEqual('one late.0.0 1')
 })
 
-// A burst fills the fleet. A wide job has most of its tasks placed when it becomes late; its last
-// ones waited behind every fresh job until the caller had gone, and all its work was in vain.
-test('a job that has begun keeps its place when it becomes late', () => {
+// A burst fills the fleet, and a wide job becomes late with most of its tasks placed. If its last tasks wait behind
+// every new job until the caller has gone, all its work is wasted.
+test('a started job keeps its place when it becomes late', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('filler', [step(2)])
   bench.submit('wide', [step(3)])
@@ -324,7 +323,7 @@
   expect(bench.stops()).toEqual(['one job.0.0'])
 })
 
-// After this answer its caller submits the job again.
+// The caller may submit the job again as soon as it has this answer.
 test('the tasks of a job that is not finished in time are stopped before it is answered', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('job', [step(2)], { remaining: 500 })
@@ -334,7 +333,7 @@
   expect(order).toEqual(['send', 'answer'])
 })
 
-test('a job of which nothing was placed by its deadline is refused, not timed out', () => {
+test('a job without placed tasks at its deadline is refused, not timed out', () => {
   const bench = EntryBench.withAgents('one')
   bench.submit('long', [step(4)])
   const request = bench.submit('job', [step(1)], { remaining: 500 })
@@ -342,9 +341,9 @@
   expect(bench.answers()).toEqual([[request, 'refused deadline']])
 })
 
-// The process is told to stop, and its open connections go on bringing requests. One that came
-// shortly before the end was taken and cut off (a hunt over random days found it).
-test('near the end of a stop only jobs that will be done by then are taken', () => {
+// The process is ordered to stop while open connections still bring requests. A job accepted shortly before the end
+// would be cut off (found by a random search over days).
+test('near the end of a stop only jobs that will be done by then are accepted', () => {
   const bench = EntryBench.withAgents('one')
   bench.do({ type: 'stopOrdered' })
   const early = bench.submit('early')
@@ -354,9 +353,9 @@
   expect(bench.answers().some(([request]) => request === early)).toEqual(true)
 })
 
-// The operators replace the entries one after the other. For two or three seconds the balancer goes on
-// sending new callers to an entry that stops, and it refused their retests of 1.3 s with 3.8 s left.
-test('a long job that will be done before the end of a stop is taken', () => {
+// Operators replace the entries one after the other. For two or three seconds the load balancer still sends new callers
+// to a stopping entry. Retests of 1.3 s must not be refused with 3.8 s left.
+test('a long job that will be done before the end of a stop is accepted', () => {
   const bench = EntryBench.withAgents('one')
   bench.do({ type: 'stopOrdered' })
   bench.pass(2200, ['one'])
@@ -365,7 +364,7 @@
   expect(bench.answers()).toEqual([[long, 'completed']])
 })
 
-test('whoever waits at the end of a stop gets an answer', () => {
+test('every waiting caller gets an answer at the end of a stop', () => {
   const bench = EntryBench.withAgents('one')
   const running = bench.submit('running', [step(4)])
   const waiting = bench.submit('waiting')
@@ -385,7 +384,7 @@
   expect(bench.entry.ready).toEqual(false)
 })
 
-test('an older configuration is never taken', () => {
+test('an older configuration is ignored', () => {
   const bench = EntryBench.withAgents('one')
   const limits = { header: 0, body: 0, headerTimeout: 0, idleTimeout: 0 }
   bench.do({ type: 'configured', configuration: { version: 7, queues: [], limits } })
--- a/packages/dispatch/test/entrybench.ts
+++ b/packages/dispatch/test/entrybench.ts
@@ -1,4 +1,4 @@
-/** An entry with agents, driven by hand under a clock of the test. */
+/** Test harness: an entry with agents, driven by events under a simulated clock. */
 import type { Answer, EntryEffect, EntryEvent, EntryOptions } from '../src/entrytypes.ts'
 import type { JobRequest, Step } from '../src/job.ts'
 import type { TaskReference } from '../src/messages.ts'
@@ -16,7 +16,7 @@
   return { count, needs: { cpu: 2000, memory: 10, accelerators: 0 }, estimated: 300, after: [], label: '', rack: '', perTarget: 0, ...extra }
 }
 
-/** What an agent says of itself on a new link. */
+/** What an agent announces on a new link. */
 interface Announcement {
   cpu?: number
   held?: TaskReference[]
@@ -39,11 +39,11 @@
     return new EntryBench().serving(...names)
   }
 
-  static under (policy: Partial<Policy>, ...names: string[]): EntryBench {
+  static withPolicy (policy: Partial<Policy>, ...names: string[]): EntryBench {
     return new EntryBench({ policy }).serving(...names)
   }
 
-  /** Gives it a configuration and agents. */
+  /** Gives the entry a configuration and linked agents, and discards the effects. */
   serving (...names: string[]): this {
     this.do({ type: 'configured', configuration: { version: 1, queues: [QUEUE], limits: { header: 0, body: 0, headerTimeout: 0, idleTimeout: 0 } } })
     for (const name of names) this.link(name)
@@ -104,22 +104,22 @@
     return effects
   }
 
-  /** Another entry, linked and able to give out room. */
+  /** Links another entry that is able to allocate capacity. */
   peer (name: string, strength = 0, dataCentre = 'one'): void {
     this.do({ type: 'peerLinked', peer: name })
-    this.hear(name, { type: 'member', dataCentre, able: true, strength })
+    this.receive(name, { type: 'member', dataCentre, able: true, strength })
   }
 
-  hear (peer: string, message: PeerMessage): void {
+  receive (peer: string, message: PeerMessage): void {
     this.do({ type: 'peerMessage', peer, message })
   }
 
-  /** What was told to another entry. */
+  /** Messages sent to another entry. */
   told (peer: string): PeerMessage[] {
     return this.#effects.flatMap(effect => effect.type === 'tell' && effect.peer === peer ? [effect.message] : [])
   }
 
-  /** Starts that were sent: agent, task and attempt. */
+  /** Starts that were sent, each as agent, task and attempt. */
   starts (): string[] {
     return this.#effects.flatMap(effect => effect.type === 'send' && effect.message.type === 'start'
       ? effect.message.tasks.map(({ task, attempt }) => `${effect.agent} ${task} ${attempt}`)
--- a/packages/dispatch/test/evacuations.test.ts
+++ b/packages/dispatch/test/evacuations.test.ts
@@ -91,7 +91,7 @@
 test('an entry without the store hears of evacuations from another one', () => {
   const bench = entryWith('one', 'two')
   bench.peer('other')
-  bench.hear('other', { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } })
   bench.take()
   bench.submit('job')
   expect(bench.starts()).toEqual(['two job.0.0 1'])
@@ -102,9 +102,9 @@
   bench.peer('other')
   read(bench, 9, 'one')
   bench.take()
-  bench.hear('other', { type: 'evacuations', state: { revision: 8, dataCentres: ['one'] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 8, dataCentres: ['one'] } })
   expect(bench.told('other')).toEqual([])
-  bench.hear('other', { type: 'evacuations', state: { revision: 7, dataCentres: [] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 7, dataCentres: [] } })
   expect(bench.told('other')).toEqual([{ type: 'evacuations', state: { revision: 9, dataCentres: ['one'] } }])
 })
 
--- a/packages/dispatch/test/lateentry.test.ts
+++ b/packages/dispatch/test/lateentry.test.ts
@@ -7,8 +7,8 @@
 const WHILE_ON_TIME = 2500
 const LATE = 1000
 
-// Guards against starts beside those of the caller's next submission through another entry.
-test('a task that ends after the deadline of its job is not placed again by an entry that is late', () => {
+// Guards against starting tasks beside those of the caller's next submission through another entry.
+test('a delayed entry does not place a task again that ends after the deadline of its job', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job', [step(1)], { remaining: REMAINING })
   const [agent] = bench.starts().map(start => start.split(' ')[0] as string)
--- a/packages/dispatch/test/learnedspeeds.test.ts
+++ b/packages/dispatch/test/learnedspeeds.test.ts
@@ -14,7 +14,7 @@
 
 /** An entry that hears of its fleet for the first time. */
 function started (): EntryBench {
-  const bench = EntryBench.under(POLICY)
+  const bench = EntryBench.withPolicy(POLICY)
   for (const name of SLOW) bench.link(name, { labels: ['a'] })
   for (const name of FAST) bench.link(name, { labels: ['b'] })
   return bench
@@ -100,7 +100,7 @@
     return agent
   })
   speeds.review(agents, 0)
-  agents[0]?.noteLearned(0.5, false)
+  agents[0]?.noteInferredSpeed(0.5, false)
   expect(speeds.fastest('checks', '')).toEqual(0.5)
 })
 
--- a/packages/dispatch/test/leavingtargets.test.ts
+++ b/packages/dispatch/test/leavingtargets.test.ts
@@ -142,7 +142,7 @@
   ['is not used while the setting is off', {}, 2000, false]
 ] as const) {
   test(`an entry's only target that leaves ${name}`, () => {
-    const bench = EntryBench.under(policy, 'agent-1')
+    const bench = EntryBench.withPolicy(policy, 'agent-1')
     leave(bench, 'agent-1', remaining)
     bench.submit('a', [step(1)])
     expect(bench.starts()).toEqual(used ? ['agent-1 a.0.0 1'] : [])
@@ -151,7 +151,7 @@
 
 // Estimates are off by 40%: what would probably be cut off goes where it is not.
 test('a long task goes to the target that stays, though the leaving one is emptier', () => {
-  const bench = EntryBench.under({ usesLeaving: true }, 'agent-1', 'agent-2')
+  const bench = EntryBench.withPolicy({ usesLeaving: true }, 'agent-1', 'agent-2')
   bench.ping('agent-2', 4000)
   leave(bench, 'agent-1', 1000)
   bench.submit('long', [step(1, { estimated: 900 })])
@@ -160,7 +160,7 @@
 })
 
 test('the time of a leaving target runs down at the entry too', () => {
-  const bench = EntryBench.under({ usesLeaving: true }, 'agent-1')
+  const bench = EntryBench.withPolicy({ usesLeaving: true }, 'agent-1')
   leave(bench, 'agent-1', 1000)
   bench.pass(500, ['agent-1'])
   bench.submit('a', [step(1)])
--- a/packages/dispatch/test/mixedbuilds.test.ts
+++ b/packages/dispatch/test/mixedbuilds.test.ts
@@ -12,7 +12,7 @@
 test('an entry goes on after messages of kinds that it does not know', () => {
   const bench = EntryBench.withAgents('one')
   bench.peer('other')
-  bench.hear('other', UNKNOWN as unknown as PeerMessage)
+  bench.receive('other', UNKNOWN as unknown as PeerMessage)
   bench.do({ type: 'agentMessage', agent: 'one', message: UNKNOWN as unknown as AgentMessage })
   bench.submit('job')
   bench.pass(50, ['one'])
@@ -27,7 +27,7 @@
   bench.take()
   const { needs, label, rack, perTarget } = step(1)
   const steps = [{ index: 0, needs, label, rack, perTarget, expected: 300, tasks: [{ name: 'job.0.0', avoid: '' }], placed: [] }]
-  bench.hear('other', { type: 'ask', group: '', service: 'checks', job: 'job', within: 200, waits: false, steps, except: [] })
+  bench.receive('other', { type: 'ask', group: '', service: 'checks', job: 'job', within: 200, waits: false, steps, except: [] })
   expect(bench.told('other').map(({ type }) => type)).toEqual(['grant'])
 })
 
--- a/packages/dispatch/test/partitionsharing.test.ts
+++ b/packages/dispatch/test/partitionsharing.test.ts
@@ -22,7 +22,7 @@
   /** Whole seconds in which the other entries tell of themselves as holders do. */
   live (milliseconds: number, peers: string[] = []): void {
     for (let passed = 0; passed < milliseconds; passed += 200) {
-      for (const peer of peers) this.hear(peer, { ...ROOM, group: peer })
+      for (const peer of peers) this.receive(peer, { ...ROOM, group: peer })
       this.pass(Math.min(200, milliseconds - passed), AGENTS)
     }
   }
@@ -75,7 +75,7 @@
   fill(made)
   made.submit('job')
   expect(made.messages('other', 'ask').map(({ group, waits }) => [group, waits])).toEqual([['other', false]])
-  made.hear('other', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: heldBy('other', 'self', 'other')[0] as string }], waited: 0 })
+  made.receive('other', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: heldBy('other', 'self', 'other')[0] as string }], waited: 0 })
   expect(startedAt(made)).toEqual([heldBy('other', 'self', 'other')[0] as string])
 })
 
@@ -83,7 +83,7 @@
   const made = bench('other')
   const { needs, label, rack, perTarget } = step(1)
   const tasks = Array.from({ length: 4 * AGENTS.length }, (_none, index) => ({ name: `job.0.${index}`, avoid: '' }))
-  made.hear('other', { type: 'ask', group: 'self', service: 'checks', job: 'job', within: 200, waits: false, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks, placed: [] }], except: [] })
+  made.receive('other', { type: 'ask', group: 'self', service: 'checks', job: 'job', within: 200, waits: false, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks, placed: [] }], except: [] })
   const granted = made.messages('other', 'grant').flatMap(({ grants }) => grants.map(({ agent }) => agent))
   expect(granted.length).toEqual(4 * heldBy('self', 'self', 'other').length)
   expect(new Set(granted)).toEqual(new Set(heldBy('self', 'self', 'other')))
@@ -115,7 +115,7 @@
   fill(made)
   made.submit('first')
   made.live(UNANSWERED_MILLISECONDS + TICK)
-  made.hear('other', ROOM)
+  made.receive('other', ROOM)
   made.take()
   made.submit('second')
   expect(made.messages('other', 'ask')).toEqual([])
@@ -126,7 +126,7 @@
   const made = new EntryBench({ strength: -4, policy: { partitions: true } }).serving(...AGENTS)
   const live = (milliseconds: number): void => {
     for (let passed = 0; passed < milliseconds; passed += 200) {
-      made.hear('other', { type: 'member', dataCentre: 'one', able: true, strength: 0 })
+      made.receive('other', { type: 'member', dataCentre: 'one', able: true, strength: 0 })
       made.pass(200, AGENTS)
     }
   }
@@ -145,7 +145,7 @@
   const made = bench('other')
   made.pass(HOLDER_SILENCE_MILLISECONDS + TICK, AGENTS)
   expect(made.notes('partition taken')).toEqual(1)
-  made.hear('other', ROOM)
+  made.receive('other', ROOM)
   made.pass(TICK, AGENTS)
   expect(made.notes('partition handed over')).toEqual(1)
 })
@@ -178,7 +178,7 @@
   const made = bench('other')
   fill(made)
   const { needs, label, rack, perTarget } = step(1)
-  made.hear('other', { type: 'ask', group: 'self', service: 'checks', job: 'job', within: 200, waits: true, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks: [{ name: 'job.0.0', avoid: '' }], placed: [] }], except: [] })
+  made.receive('other', { type: 'ask', group: 'self', service: 'checks', job: 'job', within: 200, waits: true, steps: [{ index: 0, needs, label, rack, perTarget, expected: 300, endBy: 500, tasks: [{ name: 'job.0.0', avoid: '' }], placed: [] }], except: [] })
   made.take()
   made.do({ type: 'stopOrdered' })
   expect(made.messages('other', 'member').map(({ able }) => able)).toEqual([false])
@@ -209,14 +209,14 @@
 test('a grant for a task that has found a place meanwhile is given back', () => {
   const made = bench('other')
   fill(made)
-  made.hear('other', { ...ROOM, free: 0 })
+  made.receive('other', { ...ROOM, free: 0 })
   made.submit('job')
   expect(made.messages('other', 'ask').map(({ waits }) => waits)).toEqual([true])
   const [agent = ''] = heldBy('self', 'self', 'other')
   made.end(agent, 'filler.0.0')
   expect(made.messages('other', 'unask').map(({ job }) => job)).toEqual(['job'])
   made.take()
-  made.hear('other', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: heldBy('other', 'self', 'other')[0] as string }], waited: 0 })
+  made.receive('other', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: heldBy('other', 'self', 'other')[0] as string }], waited: 0 })
   expect(made.starts()).toEqual([])
   expect(made.messages('other', 'release').length).toEqual(1)
 })
--- a/packages/dispatch/test/queues.test.ts
+++ b/packages/dispatch/test/queues.test.ts
@@ -25,7 +25,7 @@
   expect(nameOf('one.example', '/check')).toEqual('all')
 })
 
-test('hosts are told apart, without regard to case', () => {
+test('hosts are distinguished, ignoring case', () => {
   expect(nameOf('TWO.example', '/checks/1')).toEqual('short')
   expect(nameOf('two.example', '/other')).toEqual(undefined)
   expect(nameOf('three.example', '/')).toEqual(undefined)
--- a/packages/dispatch/test/returns.test.ts
+++ b/packages/dispatch/test/returns.test.ts
@@ -1,7 +1,7 @@
-/** Refused callers that come back: when they are told to, and what they find. */
+/** Returns of refused callers: when they are asked to return, and whether they are admitted then. */
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { RETURNS_TOLD } from '../src/admissiondefaults.ts'
+import { MAX_RETURNS_PER_REPORT } from '../src/admissiondefaults.ts'
 import { Arrival, Returns } from '../src/returns.ts'
 import { EntryBench, step } from './entrybench.ts'
 
@@ -16,13 +16,16 @@
   refusals: number
 }
 
-/** Callers of one entry with six targets of 8 cores, which can do 80 of their jobs a second. All come back as they are told. */
-class Play {
+/**
+ * Simulates callers of one entry with six targets of 8 cores, which can serve 80 of their jobs a second. All return
+ * when they are asked to.
+ */
+class Simulation {
   readonly bench = new EntryBench({ policy: { fleetAdmission: true, reservesReturns: true } })
   agents: string[] = []
-  /** Callers that came back, by second. */
+  /** Number of callers that returned, by second. */
   readonly returned = new Map<number, number>()
-  /** A newcomer was let in just after somebody was refused for the third time. */
+  /** Whether a first arrival was admitted just after a caller was refused for the third time. */
   passedOver = false
   served = 0
   #number = 0
@@ -37,7 +40,7 @@
     return this
   }
 
-  /** Callers that come for the first time, spread over a time. */
+  /** Adds callers that arrive for the first time, spread over a period. */
   come (count: number, from: number, lasts: number): this {
     for (let index = 0; index < count; index += 1) {
       this.#number += 1
@@ -102,46 +105,46 @@
   }
 }
 
-/** Callers in the worst second of returns. */
-function peak ({ returned }: Play): number {
+/** Returns in the busiest second. */
+function peak ({ returned }: Simulation): number {
   return Math.max(0, ...returned.values())
 }
 
-test('after a burst of 300 callers the returns arrive as room does', () => {
-  const play = new Play().start(AGENTS).come(320, 1000, 8000).come(300, 3000, 500).until(16_000)
-  expect([peak(play) <= 80, play.passedOver, play.served]).toEqual([true, false, 620])
+test('after a burst of 300 callers the returns do not exceed the free capacity', () => {
+  const simulation = new Simulation().start(AGENTS).come(320, 1000, 8000).come(300, 3000, 500).until(16_000)
+  expect([peak(simulation) <= 80, simulation.passedOver, simulation.served]).toEqual([true, false, 620])
 })
 
-test('after the loss of a third of the fleet the returns arrive as room does', () => {
-  const play = new Play().start(AGENTS).come(700, 1000, 10_000).until(3000).lose(['a5', 'a6']).come(300, 3000, 500).until(20_000)
-  expect([peak(play) <= 80, play.passedOver]).toEqual([true, false])
+test('after the loss of a third of the fleet the returns do not exceed the free capacity', () => {
+  const simulation = new Simulation().start(AGENTS).come(700, 1000, 10_000).until(3000).lose(['a5', 'a6']).come(300, 3000, 500).until(20_000)
+  expect([peak(simulation) <= 80, simulation.passedOver]).toEqual([true, false])
 })
 
-test('after a loss of power the callers that all come at once do not come back at once', () => {
-  const play = new Play().start([]).come(300, 1000, 300).until(1400)
-  for (const agent of AGENTS) play.bench.link(agent)
-  play.agents = AGENTS
-  play.come(320, 1500, 8000).until(16_000)
-  expect([peak(play) <= 80, play.passedOver, play.served]).toEqual([true, false, 620])
+test('callers that all arrive at once after a loss of power do not return at once', () => {
+  const simulation = new Simulation().start([]).come(300, 1000, 300).until(1400)
+  for (const agent of AGENTS) simulation.bench.link(agent)
+  simulation.agents = AGENTS
+  simulation.come(320, 1500, 8000).until(16_000)
+  expect([peak(simulation) <= 80, simulation.passedOver, simulation.served]).toEqual([true, false, 620])
 })
 
-test('a return is booked for a second that has room', () => {
+test('a return is booked for a second with free capacity', () => {
   const returns = new Returns()
   const told = Array.from({ length: 100 }, (_none, index) => returns.refused(`job${index}`, 'kind', 40, 1000))
   const bySecond = [1000, 2000, 3000, 4000].map(pause => told.filter(value => value === pause).length)
   expect(bySecond).toEqual([10, 10, 10, 10])
 })
 
-test('who comes back as told goes first, once', () => {
+test('a caller that returns on time has precedence once', () => {
   const returns = new Returns()
   expect(returns.arrival('job', 1000)).toEqual(Arrival.First)
   expect(returns.refused('job', 'kind', 40, 1000)).toEqual(1000)
-  expect([returns.arrival('job', 1990), returns.arrival('job', 3000)]).toEqual([Arrival.AsTold, Arrival.AsTold])
+  expect([returns.arrival('job', 1990), returns.arrival('job', 3000)]).toEqual([Arrival.OnTime, Arrival.OnTime])
   returns.served('job')
   expect(returns.arrival('job', 2000)).toEqual(Arrival.First)
 })
 
-test('who comes back sooner is told the time that he was told', () => {
+test('a caller that returns early is given the same time again', () => {
   const returns = new Returns()
   for (let index = 0; index < 10; index += 1) returns.refused(`other${index}`, 'kind', 10, 1000)
   returns.refused('job', 'kind', 10, 1000)
@@ -150,35 +153,35 @@
   expect(1500 + returns.refused('job', 'kind', 10, 1500) - due < 1000).toEqual(true)
 })
 
-test('who was refused twice goes first though no room was kept', () => {
+test('a caller that was refused twice has precedence without reserved capacity', () => {
   const returns = new Returns()
   for (let index = 0; index < 200; index += 1) returns.refused(`other${index}`, 'kind', 2, 1000)
   const first = returns.refused('job', 'kind', 2, 1000)
   expect(returns.arrival('job', 1000 + first)).toEqual(Arrival.First)
   for (let index = 0; index < 200; index += 1) returns.refused(`more${index}`, 'kind', 2, 1000 + first)
   const second = returns.refused('job', 'kind', 2, 1000 + first)
-  expect(returns.arrival('job', 1000 + first + second)).toEqual(Arrival.AsTold)
+  expect(returns.arrival('job', 1000 + first + second)).toEqual(Arrival.OnTime)
 })
 
-test('who comes back through another entry goes first there', () => {
+test('a caller that returns through another entry has precedence there', () => {
   const [one, other] = [new Returns(), new Returns()]
   one.refused('job', 'kind', 40, 1000)
-  other.heard(one.takeNews(1100), 5100)
-  expect([other.arrival('job', 5200), other.arrival('job', 6000)]).toEqual([Arrival.Early, Arrival.AsTold])
+  other.receive(one.takeNews(1100), 5100)
+  expect([other.arrival('job', 5200), other.arrival('job', 6000)]).toEqual([Arrival.Early, Arrival.OnTime])
 })
 
-// Without admission by the whole fleet, or without demand to tell, nobody takes the news.
-test('news that nobody takes are dropped but for those of one message', () => {
+// Without fleet admission, or without demand to report, the notices are never taken.
+test('notices that are never taken are bounded to those of one message', () => {
   const returns = new Returns()
-  for (let index = 0; index < 2 * RETURNS_TOLD; index += 1) returns.refused(`job${index}`, 'kind', 100, 1000)
-  expect(returns.newsSize).toEqual(RETURNS_TOLD)
-  expect(returns.takeNews(1000).at(-1)?.id).toEqual(`job${2 * RETURNS_TOLD - 1}`)
+  for (let index = 0; index < 2 * MAX_RETURNS_PER_REPORT; index += 1) returns.refused(`job${index}`, 'kind', 100, 1000)
+  expect(returns.newsSize).toEqual(MAX_RETURNS_PER_REPORT)
+  expect(returns.takeNews(1000).at(-1)?.id).toEqual(`job${2 * MAX_RETURNS_PER_REPORT - 1}`)
 })
 
-// Guards against a peer that lets callers in, or keeps them out, by a word that makes no sense.
-test('a notice of a return that makes no sense is left out', () => {
+// A malformed notice of a peer must neither give callers precedence nor keep them out.
+test('a malformed notice of a return is ignored', () => {
   const returns = new Returns()
-  returns.heard([{ id: 'a', within: -1, refusals: 1, booked: true }, { id: 'b', within: 1e12, refusals: 1, booked: true }, { id: 'c'.repeat(1000), within: 1, refusals: 1, booked: true }, undefined, 7], 1000)
-  returns.heard('nothing', 1000)
+  returns.receive([{ id: 'a', within: -1, refusals: 1, booked: true }, { id: 'b', within: 1e12, refusals: 1, booked: true }, { id: 'c'.repeat(1000), within: 1, refusals: 1, booked: true }, undefined, 7], 1000)
+  returns.receive('nothing', 1000)
   expect(['a', 'b', 'c'.repeat(1000)].map(id => returns.arrival(id, 1000))).toEqual([Arrival.First, Arrival.First, Arrival.First])
 })
--- a/packages/dispatch/test/roomsharing.test.ts
+++ b/packages/dispatch/test/roomsharing.test.ts
@@ -47,7 +47,7 @@
   bench.submit('job', [step(2)])
   expect(bench.starts()).toEqual([])
   expect(messages(bench, 'chief', 'ask').map(({ job, waits }) => [job, waits])).toEqual([['job', true]])
-  bench.hear('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'two' }, { task: 'job.0.1', agent: 'one' }], waited: 0 })
+  bench.receive('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'two' }, { task: 'job.0.1', agent: 'one' }], waited: 0 })
   expect(bench.starts()).toEqual(['two job.0.0 1', 'one job.0.1 1'])
 })
 
@@ -55,8 +55,8 @@
 // way to a target is no room any more, though the target has not heard of it.
 test('room that is granted is not granted again before its start arrives', () => {
   const bench = allocating('one')
-  bench.hear('other', ask('first', 3))
-  bench.hear('other', ask('second', 2))
+  bench.receive('other', ask('first', 3))
+  bench.receive('other', ask('second', 2))
   expect(grants(bench)).toEqual(['first.0.0 one', 'first.0.1 one', 'first.0.2 one', 'second.0.0 one'])
   bench.take()
   bench.do({ type: 'agentMessage', agent: 'one', message: { type: 'load', load: { others: { cpu: 6000, memory: 0, accelerators: 0 }, pace: 0, taken: ['first.0.0', 'first.0.1', 'first.0.2', 'second.0.0'] } } })
@@ -67,7 +67,7 @@
   const bench = allocating('one')
   bench.submit('filler', [step(4)])
   bench.submit('own')
-  bench.hear('other', ask('pressing', 1, { within: 0 }))
+  bench.receive('other', ask('pressing', 1, { within: 0 }))
   bench.end('one', 'filler.0.0')
   expect(grants(bench)).toEqual(['pressing.0.0 one'])
   bench.end('one', 'filler.0.1')
@@ -76,10 +76,10 @@
 
 test('granted room is free again when the entry gives it back, or its start does not arrive', () => {
   const bench = allocating('one')
-  bench.hear('other', ask('first', 4))
-  bench.hear('other', ask('second', 2))
+  bench.receive('other', ask('first', 4))
+  bench.receive('other', ask('second', 2))
   bench.take()
-  bench.hear('other', { type: 'release', grants: [{ task: 'first.0.0', agent: 'one' }] })
+  bench.receive('other', { type: 'release', grants: [{ task: 'first.0.0', agent: 'one' }] })
   expect(grants(bench)).toEqual(['second.0.0 one'])
   bench.take()
   bench.pass(GRANT_MILLISECONDS + 50, ['one'])
@@ -89,10 +89,10 @@
 test('a request that is withdrawn, or whose entry is gone, gets nothing', () => {
   const bench = allocating('one')
   bench.submit('filler', [step(4)])
-  bench.hear('other', ask('withdrawn', 1))
-  bench.hear('other', { type: 'unask', job: 'withdrawn' })
+  bench.receive('other', ask('withdrawn', 1))
+  bench.receive('other', { type: 'unask', job: 'withdrawn' })
   bench.peer('gone', -1)
-  bench.hear('gone', ask('orphan', 1))
+  bench.receive('gone', ask('orphan', 1))
   bench.do({ type: 'peerUnlinked', peer: 'gone' })
   bench.end('one', 'filler.0.0')
   expect(bench.told('gone').concat(bench.told('other')).filter(({ type }) => type === 'grant')).toEqual([])
@@ -103,7 +103,7 @@
 test('each entry judges by itself how far it trusts a target', () => {
   const bench = asking('one', 'two')
   bench.submit('job', [step(1)])
-  bench.hear('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'one' }], waited: 0 })
+  bench.receive('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'one' }], waited: 0 })
   bench.take()
   bench.end('one', 'job.0.0', Outcome.NotStarted, Cause.Unhealthy)
   expect(messages(bench, 'chief', 'ask').map(({ except }) => except)).toEqual([['one']])
@@ -111,7 +111,7 @@
 
 test('an agent that the asking entry cannot use is not given to it', () => {
   const bench = allocating('one', 'two')
-  bench.hear('other', ask('job', 2, { except: ['one'] }))
+  bench.receive('other', ask('job', 2, { except: ['one'] }))
   expect(grants(bench)).toEqual(['job.0.0 two', 'job.0.1 two'])
 })
 
@@ -119,7 +119,7 @@
   const bench = asking('one')
   const request = bench.submit('job')
   bench.do({ type: 'requestGone', request })
-  bench.hear('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'one' }], waited: 0 })
+  bench.receive('chief', { type: 'grant', job: 'job', grants: [{ task: 'job.0.0', agent: 'one' }], waited: 0 })
   expect(bench.starts()).toEqual([])
   expect(bench.told('chief').map(({ type }) => type)).toEqual(['ask', 'unask', 'release'])
 })
@@ -164,7 +164,7 @@
   bench.submit('second', [step(1, { estimated: 100 })], { queue })
   bench.pass(90, ['one'])
   expect(bench.answers()).toEqual([])
-  bench.hear('chief', { type: 'waiting', jobs: ['first', 'second'], crowded: true })
+  bench.receive('chief', { type: 'waiting', jobs: ['first', 'second'], crowded: true })
   bench.pass(20, ['one'])
   expect(bench.answers().map(([, answer]) => answer)).toEqual(['refused overload', 'refused overload'])
 })
@@ -185,12 +185,12 @@
   const bench = withTwoGroups()
   bench.peer('near', 1)
   bench.pass(100)
-  bench.hear('near', { type: 'room', group: 'one', free: 0 })
-  bench.hear('far', { type: 'room', group: 'two', free: 100_000 })
+  bench.receive('near', { type: 'room', group: 'one', free: 0 })
+  bench.receive('far', { type: 'room', group: 'two', free: 100_000 })
   bench.take()
   bench.submit('job')
   expect(messages(bench, 'far', 'ask').map(({ group, waits }) => [group, waits])).toEqual([['two', false]])
-  bench.hear('far', { type: 'declined', job: 'job', group: 'two', free: 0 })
+  bench.receive('far', { type: 'declined', job: 'job', group: 'two', free: 0 })
   expect(messages(bench, 'near', 'ask').map(({ group, waits }) => [group, waits])).toEqual([['one', true]])
 })
 
@@ -208,7 +208,7 @@
 
 test('an entry whose own group is full asks for room elsewhere', () => {
   const bench = withTwoGroups()
-  bench.hear('far', { type: 'room', group: 'two', free: 100_000 })
+  bench.receive('far', { type: 'room', group: 'two', free: 100_000 })
   bench.submit('filler', [step(4 * GROUP_TARGETS)])
   bench.take()
   bench.submit('job')
@@ -217,7 +217,7 @@
 
 test('a request that does not want to wait is declined when it does not fit', () => {
   const bench = allocating('one')
-  bench.hear('other', ask('job', 5, { waits: false }))
+  bench.receive('other', ask('job', 5, { waits: false }))
   expect(grants(bench).length).toEqual(4)
   expect(messages(bench, 'other', 'declined').map(({ job, free }) => [job, free])).toEqual([['job', 0]])
 })
@@ -229,7 +229,7 @@
   const answerAfter = (job: string, milliseconds: number): void => {
     bench.submit(job)
     bench.now += milliseconds
-    bench.hear('chief', { type: 'grant', job, grants: [{ task: `${job}.0.0`, agent: 'one' }], waited: 0 })
+    bench.receive('chief', { type: 'grant', job, grants: [{ task: `${job}.0.0`, agent: 'one' }], waited: 0 })
     bench.end('one', `${job}.0.0`)
   }
   for (let number = 0; number < 20; number += 1) answerAfter(`slow${number}`, 40)
--- a/packages/dispatch/test/slackplacement.test.ts
+++ b/packages/dispatch/test/slackplacement.test.ts
@@ -16,7 +16,7 @@
   agent.linked = true
   agent.noteTarget({ instance: name, service: 'checks', dataCentre, capacity: { cpu, memory: 1000, accelerators: 0 }, labels: [], leaving: false })
   agent.noteLoad({ others: { cpu: used, memory: 0, accelerators: 0 }, pace: 0 })
-  agent.noteLearned(speed, false)
+  agent.noteInferredSpeed(speed, false)
   return agent
 }
 
--- a/packages/dispatch/test/targets.test.ts
+++ b/packages/dispatch/test/targets.test.ts
@@ -1,10 +1,10 @@
-/** Which targets an entry places tasks at: sound ones with room, near ones first. */
+/** Which targets an entry places tasks at: healthy ones with capacity, local ones first. */
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { Cause, Outcome } from '../src/messages.ts'
 import { EntryBench, step } from './entrybench.ts'
 
-test('a task that stands still is moved to another target', () => {
+test('a task without progress is moved to another target', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job')
   const stuck = bench.starts()[0]?.split(' ')[0] as string
@@ -16,7 +16,7 @@
   expect(bench.starts().at(-1)).toEqual(`${other} job.0.0 2`)
 })
 
-test('a task that crawls is moved once', () => {
+test('a slow task is moved once', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job')
   for (let attempt = 1; attempt <= 2; attempt += 1) {
@@ -27,7 +27,7 @@
   expect(bench.stops().length).toEqual(1)
 })
 
-test('a target that fails what it starts is left out', () => {
+test('a target whose tasks fail is ejected', () => {
   const bench = EntryBench.withAgents('one', 'two', 'three', 'four')
   for (let job = 0; job < 8; job += 1) {
     bench.submit(`job${job}`)
@@ -39,9 +39,9 @@
   expect(bench.starts().filter(start => start.startsWith('one')).length).toBeLessThanOrEqual(1)
 })
 
-// Orders get lost everywhere now and then. Three in a row at one target are chance; one that
-// answers none at all takes work from the others until it is left out.
-test('a target is left out when it answers no start at all, not for a few lost ones', () => {
+// Starts get lost at any target at times. Three in a row at one target are chance; a target that answers none at all
+// takes work from the others until it is ejected.
+test('a target is ejected when it answers no start at all, not for a few lost ones', () => {
   const bench = EntryBench.withAgents('one', 'two', 'three', 'four')
   bench.submit('wide', [step(16)])
   loseStarts(bench, 'one')
@@ -56,7 +56,7 @@
   return bench.starts().filter(start => start.startsWith(`${agent} `))
 }
 
-/** The last four starts at a target get no answer. */
+/** The starts sent to a target get no answer. */
 function loseStarts (bench: EntryBench, agent: string): void {
   const lost = startsAt(bench, agent)
   bench.take()
@@ -77,9 +77,9 @@
   expect(bench.starts().length).toEqual(9)
 })
 
-// A slow target was left alone and had no pace to tell any more. It looked average and empty, and the
-// next wide job went there as a whole.
-test('a target that was slow is probed until its pace shows that it is not', () => {
+// A slow target without work has no speed ratio to report. If it then counts as average and empty, the whole of the
+// next wide job is placed there.
+test('a target that was slow gets one task at a time until its speed ratio has recovered', () => {
   const bench = EntryBench.withAgents('one', 'two', 'three')
   for (const pace of [0.12, 0]) {
     bench.ping('one', 0, pace)
@@ -94,7 +94,7 @@
   expect(startsAt(bench, 'one').length).toEqual(4)
 })
 
-test('the own data centre comes first, and another one before waiting', () => {
+test('the local data centre is used first, and another one before tasks wait', () => {
   const bench = EntryBench.withAgents('near')
   bench.link('far', { dataCentre: 'two' })
   bench.take()
@@ -116,9 +116,9 @@
   expect(bench.starts().map(start => start.split(' ')[0]).sort()).toEqual(['one', 'one', 'two', 'two'])
 })
 
-// Machines are replaced by others under new names. Those that were gone counted as targets for ever, and a job that none of
-// the present ones could run waited for them until its deadline.
-test('an agent that stays away is forgotten', () => {
+// Machines are replaced by others under new names. If lost ones counted as targets forever, a job that no present
+// target can run would wait for them until its deadline.
+test('an agent that stays away is removed', () => {
   const bench = EntryBench.withAgents('one')
   bench.link('large', { cpu: 32_000 })
   bench.do({ type: 'agentUnlinked', agent: 'large' })
