--- a/packages/dispatch/src/cancellations.ts
+++ b/packages/dispatch/src/cancellations.ts
@@ -13,7 +13,7 @@
   /** Whether cancelled ids are remembered. */
   remembers: boolean
   /** Whether cancellations are sent to the other entries. */
-  tells: boolean
+  sendsToPeers: boolean
   tell: (peer: string, message: PeerMessage) => void
 }
 
@@ -70,7 +70,7 @@
   }
 
   #send (peer: string, jobs: readonly string[], now: number): void {
-    if (!this.#dependencies.tells || jobs.length === 0) return
+    if (!this.#dependencies.sendsToPeers || jobs.length === 0) return
     this.#dependencies.tell(peer, { type: 'cancel', jobs: jobs.map(job => ({ job, ago: Math.round(now - (this.#cancelled.get(job) ?? now)) })) })
   }
 }
--- a/packages/dispatch/src/capacityforecast.ts
+++ b/packages/dispatch/src/capacityforecast.ts
@@ -65,7 +65,7 @@
     this.#targets.set(agent.name, { service: target.service, cpu: target.capacity.cpu, departure: departureOf(target, before), awaySince: undefined })
   }
 
-  forget (agent: AgentView): void {
+  remove (agent: AgentView): void {
     this.#targets.delete(agent.name)
   }
 
--- a/packages/dispatch/src/crashsuspects.ts
+++ b/packages/dispatch/src/crashsuspects.ts
@@ -51,7 +51,7 @@
   readonly #targets: () => number
   #blockedTasks = 0
 
-  /** @param targets number of targets that this entry knows */
+  /** @param targets returns the number of targets that this entry has links to */
   constructor (targets: () => number) {
     this.#targets = targets
   }
@@ -104,9 +104,9 @@
   }
 
   tick (now: number): void {
-    for (const [life, { at }] of this.#lostIncarnations) if (now - at >= CRASH_RETENTION_MILLISECONDS) this.#lostIncarnations.delete(life)
+    for (const [incarnation, { at }] of this.#lostIncarnations) if (now - at >= CRASH_RETENTION_MILLISECONDS) this.#lostIncarnations.delete(incarnation)
     for (const [task, losses] of this.#losses) {
-      for (const [life, { at }] of losses) if (now - at >= CRASH_RETENTION_MILLISECONDS) losses.delete(life)
+      for (const [incarnation, { at }] of losses) if (now - at >= CRASH_RETENTION_MILLISECONDS) losses.delete(incarnation)
       if (losses.size === 0) this.#losses.delete(task)
     }
   }
--- a/packages/dispatch/src/demandreports.ts
+++ b/packages/dispatch/src/demandreports.ts
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Sends a report to all entries, unless one was sent within the minimum interval, or nothing has changed within the
-   * repeat interval.
+   * Sends a report to all entries, unless one was sent within the minimum interval, or within the repeat interval while
+   * no figure has changed and no returns are pending.
    */
   tick (demands: readonly KindDemand[], returns: Pick<Returns, 'newsSize' | 'takeNews'> | undefined, now: number): void {
     const since = now - this.#sentAt
--- a/packages/dispatch/src/demandview.ts
+++ b/packages/dispatch/src/demandview.ts
@@ -22,7 +22,7 @@
     this.#reports.set(peer, { at: now, dataCentre: nameOf(dataCentre), kinds: valid })
   }
 
-  forget (peer: string): void {
+  remove (peer: string): void {
     this.#reports.delete(peer)
   }
 
--- a/packages/dispatch/src/entry.ts
+++ b/packages/dispatch/src/entry.ts
@@ -118,8 +118,8 @@
       opened: agent => this.#evacuations.sendToAgent(agent),
       evacuationsReceived: (agent, state) => this.#evacuations.receiveFromAgent(agent, state)
     })
-    const { cancelMemory: remembers, cancelNews: tells } = options.guards ?? ALL_FLEET_GUARDS
-    this.#cancellations = new Cancellations({ remembers, tells, tell: (peer, message) => this.#effects.push({ type: 'tell', peer, message }) })
+    const { cancelMemory: remembers, cancelNews: sendsToPeers } = options.guards ?? ALL_FLEET_GUARDS
+    this.#cancellations = new Cancellations({ remembers, sendsToPeers, tell: (peer, message) => this.#effects.push({ type: 'tell', peer, message }) })
     this.#suspects = new CrashSuspects(() => this.#fleet.linked)
     this.#ends = new TaskEnds({
       policy: this.#policy,
--- a/packages/dispatch/src/evacuationupdates.ts
+++ b/packages/dispatch/src/evacuationupdates.ts
@@ -19,7 +19,7 @@
 
 /**
  * A change is sent to every agent and entry at once, and repeated to a few entries in turn for those that missed it: an
- * entry that cannot reach the store must stop placing tasks within the 5 s in which evacuations have to be in force.
+ * entry that cannot read the store must stop placing tasks within the 5 s in which evacuations have to be in force.
  * Agents are also informed when this entry loses contact with the store, since they must then read it themselves.
  */
 export class EvacuationUpdates {
--- a/packages/dispatch/src/fleet.ts
+++ b/packages/dispatch/src/fleet.ts
@@ -314,7 +314,7 @@
   #removeAgent (agent: AgentView): void {
     this.#agents.delete(agent.name)
     this.#trust.remove(agent)
-    this.#forecast.forget(agent)
+    this.#forecast.remove(agent)
     this.#note('agent removed', { agent: agent.name, instance: agent.target?.instance })
   }
 
--- a/packages/dispatch/src/fleetadmission.ts
+++ b/packages/dispatch/src/fleetadmission.ts
@@ -107,7 +107,7 @@
 
   peerUnlinked (peer: string): void {
     this.#reports.remove(peer)
-    this.#view.forget(peer)
+    this.#view.remove(peer)
   }
 
   receive (peer: string, message: Extract<PeerMessage, { type: 'demand' }>, now: number): void {
@@ -142,12 +142,12 @@
     const gate = this.#gateOf(`${queue.name}/${key}`)
     if (state.capacity === 0 || (wait <= maxWait && gateAdmits(gate, fraction, arrival))) {
       if (state.capacity > 0) this.#admitted.note(queue.name, MILLISECONDS_PER_SECOND, now)
-      this.#dependencies.returns?.served(request.id)
+      this.#dependencies.returns?.noteAdmitted(request.id)
       this.#counts.of(queue.name).admitted += 1
       state.admitted += coresWanted(request)
       return undefined
     }
-    if (wait > maxWait && arrival === Arrival.OnTime) gate.owe()
+    if (wait > maxWait && arrival === Arrival.OnTime) gate.charge()
     const refusal = { share: share?.share ?? 0, offered: share?.offered ?? 0, threshold: fraction, capacity: state.capacity, wanted: state.wanted, wait }
     this.#logExceeded(queue.name, refusal, now)
     return refusal
@@ -187,7 +187,7 @@
   status (now: number): AdmissionStatus[] {
     const reported = this.#view.fresh(now)
     return [...this.#services.values()].flatMap(({ shares, own }) => [...shares.values()].map(share => {
-      const demands = [...own.map(kind => ({ ...kind, dataCentre: this.#dependencies.dataCentre })), ...reported]
+      const demands = [...own.map(demand => ({ ...demand, dataCentre: this.#dependencies.dataCentre })), ...reported]
       return { ...share, counts: this.#counts.of(share.name), dataCentres: byDataCentre(demands.filter(({ name }) => name === share.name)) }
     }))
   }
@@ -205,7 +205,7 @@
     const { capacity, used } = coresOf(agents)
     const queues = [...this.#queues.values()].filter(queue => queue.service === service)
     const own = demandOf(queues, this.#offered, agents, this.#dependencies.queues.get(service), now)
-    const reported = this.#view.fresh(now).filter(kind => kind.service === service).map(kind => clampedDemand(kind, capacity))
+    const reported = this.#view.fresh(now).filter(demand => demand.service === service).map(demand => clampedDemand(demand, capacity))
     const demands = sumByQueue([...own, ...reported])
     const waiting = total(demands, 'waiting')
     const wanted = Math.max(used, Math.min(total(demands, 'running'), used * MAX_REPORTED_OVER_USED)) + waiting
@@ -240,9 +240,9 @@
    * Expected wait in milliseconds behind `coresBefore` cores of this entry's own jobs. Jobs of other entries are
    * assumed to be spread over their queues in the same way.
    */
-  #expectedWait ({ releaseRate: freeing, waiting, ownWaiting }: ServiceState, coresBefore: number): number {
-    if (freeing === 0 || coresBefore === 0) return 0
-    return Math.max(coresBefore, Math.min(waiting, coresBefore * waiting / Math.max(1, ownWaiting))) / freeing
+  #expectedWait ({ releaseRate, waiting, ownWaiting }: ServiceState, coresBefore: number): number {
+    if (releaseRate === 0 || coresBefore === 0) return 0
+    return Math.max(coresBefore, Math.min(waiting, coresBefore * waiting / Math.max(1, ownWaiting))) / releaseRate
   }
 
   #gateOf (name: string): ShareGate {
@@ -272,7 +272,7 @@
 }
 
 function total (demands: readonly KindDemand[], figure: 'running' | 'waiting'): number {
-  return demands.reduce((sum, kind) => sum + kind[figure], 0)
+  return demands.reduce((sum, demand) => sum + demand[figure], 0)
 }
 
 /** Limits the demand reported by another entry, so that a wrong report costs this one little. */
--- a/packages/dispatch/src/fleettrust.ts
+++ b/packages/dispatch/src/fleettrust.ts
@@ -45,7 +45,7 @@
     this.#health.remove(agent.health)
   }
 
-  /** Resets the health for a new incarnation of the target. */
+  /** Resets the health for a new incarnation of the target: results of the previous one no longer apply. */
   reset (agent: AgentView): void {
     this.#health.remove(agent.health)
     agent.health = new TargetHealth(ASSUMED_SLOTS)
--- a/packages/dispatch/src/fleetview.ts
+++ b/packages/dispatch/src/fleetview.ts
@@ -213,8 +213,8 @@
   /** Whether the target can be reached and takes work. */
   reachable (now: number): boolean {
     const idle = this.role === RoomRole.Asks ? QUIET_SUSPECT_MILLISECONDS * this.#quietFactor : IDLE_SUSPECT_MILLISECONDS
-    const silence = this.placements.size > 0 ? SUSPECT_MILLISECONDS : idle
-    return this.linked && this.announced && this.target !== undefined && this.takesWork(now) && !this.evacuated && this.timeWithoutContact(now) < silence
+    const limit = this.placements.size > 0 ? SUSPECT_MILLISECONDS : idle
+    return this.linked && this.announced && this.target !== undefined && this.takesWork(now) && !this.evacuated && this.timeWithoutContact(now) < limit
   }
 
   /** Whether the target takes work: it stays, or is still used while it leaves. */
--- a/packages/dispatch/src/jobqueue.ts
+++ b/packages/dispatch/src/jobqueue.ts
@@ -7,11 +7,11 @@
 type OrderPolicy = Pick<Policy, 'priorityStep' | 'byKept' | 'shortestFirst' | 'placesBySlack'>
 
 /**
- * The job that would be refused first comes first. Long jobs have a late refusal time, so under overload they are not
- * all refused: at twice the load the longest kind gets 0.36 of the credit, against 0.32 in the order of the latest
- * start (emulated, four fleets). A started job keeps its place; otherwise a wide job is passed over while its last
- * tasks wait, and all its work is wasted. Jobs that cannot be in time need no rank behind the others, since they are
- * refused while others wait: such ranks changed no figure on six emulated kinds of day.
+ * The job that would be refused first comes first. This keeps long jobs, whose latest start is late, from all being
+ * refused under overload: at twice the load the longest kind gets 0.36 of the credit, against 0.32 in the order of the
+ * latest start (emulated, four fleets). A started job keeps its place; otherwise a wide job is passed over while its
+ * last tasks wait, and all its work is wasted. Jobs that cannot be in time need no rank behind the others, since they
+ * are refused while others wait: such ranks changed no figure on six emulated kinds of day.
  */
 export class JobQueue {
   readonly #policy: OrderPolicy
--- a/packages/dispatch/src/owndemand.ts
+++ b/packages/dispatch/src/owndemand.ts
@@ -60,13 +60,13 @@
   const demands = new Map(queues.map(({ name, service, priority }) => [name, { name, service, priority, offered: meter.rate(name, now), running: 0, waiting: 0 }]))
   for (const { placements } of agents) {
     for (const { task, needs } of placements.values()) {
-      const kind = demands.get(task.job.request.queue.name)
-      if (kind !== undefined) kind.running += needs.cpu / THOUSANDTHS
+      const demand = demands.get(task.job.request.queue.name)
+      if (demand !== undefined) demand.running += needs.cpu / THOUSANDTHS
     }
   }
   for (const job of waiting?.jobs() ?? []) {
-    const kind = demands.get(job.request.queue.name)
-    if (kind !== undefined) kind.waiting += coresWaiting(job)
+    const demand = demands.get(job.request.queue.name)
+    if (demand !== undefined) demand.waiting += coresWaiting(job)
   }
   return [...demands.values()]
 }
--- a/packages/dispatch/src/returns.ts
+++ b/packages/dispatch/src/returns.ts
@@ -48,7 +48,7 @@
   }
 
   /** Records that a caller is admitted; its precedence is used up. */
-  served (id: string): void {
+  noteAdmitted (id: string): void {
     this.#expected.delete(id)
   }
 
@@ -148,6 +148,6 @@
   return typeof id === 'string' && id.length <= MAX_RETURN_ID_LENGTH && isBetween(within, 0, MAX_RETURN_MILLISECONDS) && isBetween(refusals, 1, REFUSALS_BEFORE_PRECEDENCE) && typeof booked === 'boolean'
 }
 
-function isBetween (value: unknown, least: number, most: number): value is number {
-  return typeof value === 'number' && value >= least && value <= most
+function isBetween (value: unknown, min: number, max: number): value is number {
+  return typeof value === 'number' && value >= min && value <= max
 }
--- a/packages/dispatch/src/sharegate.ts
+++ b/packages/dispatch/src/sharegate.ts
@@ -25,12 +25,12 @@
     if (fraction >= 1) return this.#admitsAll()
     this.#credit += fraction
     const within = this.#credit - 1 >= -MAX_RETURN_DEBT
-    this.owe()
+    this.charge()
     return within
   }
 
-  /** Charges a refused job that had precedence: following first arrivals make room for its return. */
-  owe (): void {
+  /** Charges a refused job that had precedence: later first arrivals make up for its return. */
+  charge (): void {
     this.#credit = Math.max(-MAX_RETURN_DEBT, this.#credit - 1)
   }
 
--- a/packages/dispatch/src/shareplan.ts
+++ b/packages/dispatch/src/shareplan.ts
@@ -49,15 +49,15 @@
   const farAbove = above(TOLERATED_EXCESS)
   const admitsAll = !service.refuses && service.wanted < REFUSAL_START_FRACTION * service.capacity
   const exceeds = admitsAll ? demands.map(() => false) : farAbove.includes(true) ? farAbove : above(0)
-  const ofExceeding = total(demands.map((_kind, index) => exceeds[index] === true ? fairOf(index) : 0))
+  const ofExceeding = total(demands.map((_demand, index) => exceeds[index] === true ? fairOf(index) : 0))
   const ofOthers = total(demands.map(({ offered }, index) => exceeds[index] === true ? 0 : offered))
-  const left = service.trim * service.capacity + WANTED_GAIN * (WANTED_FRACTION * service.capacity - service.wanted) - ofOthers
-  const factor = ofExceeding === 0 ? 1 : Math.max(0, left / ofExceeding)
+  const available = service.trim * service.capacity + WANTED_GAIN * (WANTED_FRACTION * service.capacity - service.wanted) - ofOthers
+  const factor = ofExceeding === 0 ? 1 : Math.max(0, available / ofExceeding)
   const weights = total(claims.map(({ demand, weight }) => demand > 0 ? weight : 0))
   return demands.map((demand, index) => {
     const share = exceeds[index] === true ? Math.min(demand.offered, fairOf(index) * factor) : demand.offered
-    const own = weights === 0 ? 0 : service.capacity * (claims[index]?.weight ?? 1) / weights
-    return { ...demand, share, borrowed: Math.max(0, share - own), threshold: demand.offered > share ? share / demand.offered : 1 }
+    const entitled = weights === 0 ? 0 : service.capacity * (claims[index]?.weight ?? 1) / weights
+    return { ...demand, share, borrowed: Math.max(0, share - entitled), threshold: demand.offered > share ? share / demand.offered : 1 }
   })
 }
 
--- a/packages/dispatch/test/capacityforecast.test.ts
+++ b/packages/dispatch/test/capacityforecast.test.ts
@@ -117,6 +117,6 @@
   const [one, two] = [agent('one'), agent('two')]
   away(forecast, one, 0, 600)
   away(forecast, two, NOW)
-  forecast.forget(two)
+  forecast.remove(two)
   expect(cores(forecast, [one], 5000)).toEqual([8, 8])
 })
--- a/packages/dispatch/test/crashes.test.ts
+++ b/packages/dispatch/test/crashes.test.ts
@@ -21,7 +21,7 @@
 }
 
 /** The agent announces that its target is gone; the ends of its tasks follow. */
-function goes (bench: EntryBench, agent: string): void {
+function loseTarget (bench: EntryBench, agent: string): void {
   bench.do({ type: 'agentMessage', agent, message: { type: 'announce', target: undefined, held: [], load: NO_LOAD } })
 }
 
@@ -35,7 +35,7 @@
 function crash (bench: EntryBench, task: string, beside: string[] = []): string {
   const { agent, attempt } = lastStart(bench, task)
   lost(bench, agent, [task, ...beside])
-  goes(bench, agent)
+  loseTarget(bench, agent)
   bench.end(agent, task, Outcome.Gone, Cause.Crashed, attempt)
   return agent
 }
@@ -51,7 +51,7 @@
   bench.submit('one', [step(2)])
   for (const other of ['b', 'c']) bench.link(other)
   lost(bench, 'a', ['one.0.0', 'one.0.1'])
-  goes(bench, 'a')
+  loseTarget(bench, 'a')
   for (const task of ['one.0.0', 'one.0.1']) bench.end('a', task, Outcome.Gone, Cause.Crashed)
   expect(lastStart(bench, 'one.0.0').agent === lastStart(bench, 'one.0.1').agent).toEqual(false)
   expect(isolations(bench)).toEqual([Isolation.None, Isolation.None, Isolation.Apart, Isolation.Apart])
@@ -122,7 +122,7 @@
   const { agent, attempt } = lastStart(bench, 'one.0.0')
   const rack = [agent, ...AGENTS.filter(name => name !== first && name !== agent).slice(0, 2)]
   for (const name of rack) lost(bench, name, [name === agent ? 'one.0.0' : `${name}.0.0`], { evidence: CrashEvidence.Silent })
-  goes(bench, agent)
+  loseTarget(bench, agent)
   bench.end(agent, 'one.0.0', Outcome.Gone, Cause.Lapsed, attempt)
   bench.pass(2000, AGENTS)
   lost(bench, agent, ['one.0.0'], { ago: 2000 })
@@ -163,7 +163,7 @@
     crash(bench, 'one.0.0', OTHERS)
     const { agent, attempt } = lastStart(bench, 'one.0.0')
     lost(bench, agent, ['one.0.0'], { evidence: CrashEvidence.Silent })
-    goes(bench, agent)
+    loseTarget(bench, agent)
     bench.end(agent, 'one.0.0', Outcome.Gone, Cause.Lapsed, attempt)
     bench.pass(500, AGENTS)
     expect(bench.starts().length).toEqual(2)
@@ -273,13 +273,13 @@
 // The target returns under the same id, and entries may not have this agent's crash records.
 test('an agent refuses a task under which two incarnations of its target crashed', () => {
   const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_LIFE)
-  for (const life of ['life-2', 'life-3']) {
+  for (const instance of ['life-2', 'life-3']) {
     bench.echo()
     bench.start([order('one')])
     bench.do({ type: 'pollFailed', instance: bench.of('start').at(-1)?.instance ?? '', sent: bench.now, failure: PollFailure.NoListener })
     bench.pass(TIMINGS.lapse)
-    bench.seen({ instance: life })
-    bench.polled([], [], life)
+    bench.seen({ instance })
+    bench.polled([], [], instance)
   }
   bench.take()
   bench.echo()
--- a/packages/dispatch/test/entry.test.ts
+++ b/packages/dispatch/test/entry.test.ts
@@ -91,8 +91,8 @@
 test('tasks at an unresponsive agent are placed again only when they must have ended', () => {
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job')
-  const silent = bench.starts()[0]?.split(' ')[0] as string
-  const other = silent === 'one' ? 'two' : 'one'
+  const unresponsive = bench.starts()[0]?.split(' ')[0] as string
+  const other = unresponsive === 'one' ? 'two' : 'one'
   const echoed = bench.now
   bench.pass(TIMINGS.silence - 50, [other])
   expect(bench.starts().length).toEqual(1)
--- a/packages/dispatch/test/returns.test.ts
+++ b/packages/dispatch/test/returns.test.ts
@@ -8,7 +8,7 @@
 const AGENTS = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6']
 const RUN = 300
 const STEP = 10
-const JUST_AFTER = 100
+const NEWCOMER_WINDOW = 100
 
 interface Caller {
   id: string
@@ -26,10 +26,10 @@
   /** Number of callers that returned, by second. */
   readonly returned = new Map<number, number>()
   /** Whether a first arrival was admitted just after a caller was refused for the third time. */
-  passedOver = false
+  newcomerFirst = false
   served = 0
   #number = 0
-  #coming: Caller[] = []
+  #arrivals: Caller[] = []
   readonly #waiting = new Map<number, Caller>()
   #running: Array<{ agent: string, task: string, ends: number }> = []
   #thriceRefusedAt = Number.NEGATIVE_INFINITY
@@ -41,20 +41,20 @@
   }
 
   /** Adds callers that arrive for the first time, spread over a period. */
-  come (count: number, from: number, lasts: number): this {
+  addCallers (count: number, from: number, lasts: number): this {
     for (let index = 0; index < count; index += 1) {
       this.#number += 1
-      this.#coming.push({ id: `caller${this.#number}`, at: from + lasts * index / count, refusals: 0 })
+      this.#arrivals.push({ id: `caller${this.#number}`, at: from + lasts * index / count, refusals: 0 })
     }
     return this
   }
 
-  until (end: number): this {
+  runUntil (end: number): this {
     while (this.bench.now < end) this.#step()
     return this
   }
 
-  lose (agents: string[]): this {
+  loseAgents (agents: string[]): this {
     for (const agent of agents) this.bench.do({ type: 'agentUnlinked', agent })
     this.agents = this.agents.filter(agent => !agents.includes(agent))
     this.#running = this.#running.filter(({ agent }) => !agents.includes(agent))
@@ -68,10 +68,10 @@
     bench.do({ type: 'tick' })
     for (const { agent, task } of this.#running.filter(({ ends }) => ends <= bench.now)) bench.end(agent, task)
     this.#running = this.#running.filter(({ ends }) => ends > bench.now)
-    const due = this.#coming.filter(({ at }) => at <= bench.now)
-    this.#coming = this.#coming.filter(({ at }) => at > bench.now)
+    const due = this.#arrivals.filter(({ at }) => at <= bench.now)
+    this.#arrivals = this.#arrivals.filter(({ at }) => at > bench.now)
     for (const caller of due) this.#submit(caller)
-    this.#takeIn()
+    this.#processEffects()
   }
 
   #submit (caller: Caller): void {
@@ -80,10 +80,10 @@
     this.#waiting.set(this.bench.submit(caller.id, [step(1)], { remaining: 13_000 }), caller)
   }
 
-  #takeIn (): void {
+  #processEffects (): void {
     for (const effect of this.bench.take()) {
       if (effect.type === 'send' && effect.message.type === 'start') for (const { task } of effect.message.tasks) this.#running.push({ agent: effect.agent, task, ends: this.bench.now + RUN })
-      if (effect.type === 'note' && effect.what === 'job taken') this.#letIn(effect.fields.job as string)
+      if (effect.type === 'note' && effect.what === 'job taken') this.#noteAdmitted(effect.fields.job as string)
       if (effect.type !== 'answer') continue
       const caller = this.#waiting.get(effect.request)
       this.#waiting.delete(effect.request)
@@ -93,45 +93,45 @@
     }
   }
 
-  #letIn (id: string): void {
+  #noteAdmitted (id: string): void {
     const caller = [...this.#waiting.values()].find(waiting => waiting.id === id)
-    if (caller?.refusals === 0 && this.bench.now - this.#thriceRefusedAt < JUST_AFTER) this.passedOver = true
+    if (caller?.refusals === 0 && this.bench.now - this.#thriceRefusedAt < NEWCOMER_WINDOW) this.newcomerFirst = true
   }
 
   #refused (caller: Caller, retryAfter: number): void {
     caller.refusals += 1
     if (caller.refusals >= 3) this.#thriceRefusedAt = this.bench.now
-    this.#coming.push({ ...caller, at: this.bench.now + retryAfter })
+    this.#arrivals.push({ ...caller, at: this.bench.now + retryAfter })
   }
 }
 
 /** Returns in the busiest second. */
-function peak ({ returned }: Simulation): number {
+function busiestSecond ({ returned }: Simulation): number {
   return Math.max(0, ...returned.values())
 }
 
 test('after a burst of 300 callers the returns do not exceed the free capacity', () => {
-  const simulation = new Simulation().start(AGENTS).come(320, 1000, 8000).come(300, 3000, 500).until(16_000)
-  expect([peak(simulation) <= 80, simulation.passedOver, simulation.served]).toEqual([true, false, 620])
+  const simulation = new Simulation().start(AGENTS).addCallers(320, 1000, 8000).addCallers(300, 3000, 500).runUntil(16_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst, simulation.served]).toEqual([true, false, 620])
 })
 
 test('after the loss of a third of the fleet the returns do not exceed the free capacity', () => {
-  const simulation = new Simulation().start(AGENTS).come(700, 1000, 10_000).until(3000).lose(['a5', 'a6']).come(300, 3000, 500).until(20_000)
-  expect([peak(simulation) <= 80, simulation.passedOver]).toEqual([true, false])
+  const simulation = new Simulation().start(AGENTS).addCallers(700, 1000, 10_000).runUntil(3000).loseAgents(['a5', 'a6']).addCallers(300, 3000, 500).runUntil(20_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst]).toEqual([true, false])
 })
 
 test('callers that all arrive at once after a loss of power do not return at once', () => {
-  const simulation = new Simulation().start([]).come(300, 1000, 300).until(1400)
+  const simulation = new Simulation().start([]).addCallers(300, 1000, 300).runUntil(1400)
   for (const agent of AGENTS) simulation.bench.link(agent)
   simulation.agents = AGENTS
-  simulation.come(320, 1500, 8000).until(16_000)
-  expect([peak(simulation) <= 80, simulation.passedOver, simulation.served]).toEqual([true, false, 620])
+  simulation.addCallers(320, 1500, 8000).runUntil(16_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst, simulation.served]).toEqual([true, false, 620])
 })
 
 test('a return is booked for a second with free capacity', () => {
   const returns = new Returns()
-  const told = Array.from({ length: 100 }, (_none, index) => returns.refused(`job${index}`, 'kind', 40, 1000))
-  const bySecond = [1000, 2000, 3000, 4000].map(pause => told.filter(value => value === pause).length)
+  const waits = Array.from({ length: 100 }, (_none, index) => returns.refused(`job${index}`, 'kind', 40, 1000))
+  const bySecond = [1000, 2000, 3000, 4000].map(pause => waits.filter(value => value === pause).length)
   expect(bySecond).toEqual([10, 10, 10, 10])
 })
 
@@ -140,7 +140,7 @@
   expect(returns.arrival('job', 1000)).toEqual(Arrival.First)
   expect(returns.refused('job', 'kind', 40, 1000)).toEqual(1000)
   expect([returns.arrival('job', 1990), returns.arrival('job', 3000)]).toEqual([Arrival.OnTime, Arrival.OnTime])
-  returns.served('job')
+  returns.noteAdmitted('job')
   expect(returns.arrival('job', 2000)).toEqual(Arrival.First)
 })
 
