--- a/packages/dispatch/src/demandreports.ts
+++ b/packages/dispatch/src/demandreports.ts
@@ -52,7 +52,7 @@
   }
 }
 
-function rounded (demand: KindDemand): KindDemand {
-  const figures = FIGURES.map(figure => [figure, Math.round(demand[figure] * HUNDREDTHS) / HUNDREDTHS])
-  return { ...demand, ...Object.fromEntries(figures) }
+function rounded (kind: KindDemand): KindDemand {
+  const figures = FIGURES.map(figure => [figure, Math.round(kind[figure] * HUNDREDTHS) / HUNDREDTHS])
+  return { ...kind, ...Object.fromEntries(figures) }
 }
--- a/packages/dispatch/src/evacuationupdates.ts
+++ b/packages/dispatch/src/evacuationupdates.ts
@@ -30,7 +30,7 @@
   /** Whether the store was read recently, as last sent to the agents. */
   #confirmed = false
   #repeatedAt = Number.NEGATIVE_INFINITY
-  #nextPeer = 0
+  #turn = 0
 
   constructor (dependencies: EvacuationUpdatesDependencies) {
     this.#dependencies = dependencies
@@ -74,8 +74,8 @@
     if (now - this.#repeatedAt < EVACUATIONS_TELL_MILLISECONDS) return
     this.#repeatedAt = now
     for (let sent = 0; sent < Math.min(EVACUATIONS_TOLD_AT_ONCE, this.#peers.length); sent += 1) {
-      this.#nextPeer = (this.#nextPeer + 1) % this.#peers.length
-      this.#send(this.#peers[this.#nextPeer] as string)
+      this.#turn = (this.#turn + 1) % this.#peers.length
+      this.#send(this.#peers[this.#turn] as string)
     }
   }
 
