--- a/packages/dispatch/src/capacityforecast.ts
+++ b/packages/dispatch/src/capacityforecast.ts
@@ -96,7 +96,7 @@
       targets: own.filter(agent => agent.reachable(now)).length,
       leaving: own.filter(({ target }) => target?.leaving === true).length,
       evacuated: own.filter(({ evacuated }) => evacuated).length,
-      away: [...this.#targets.values()].filter(seen => seen.service === service && seen.awaySince !== undefined).length,
+      away: [...this.#targets.values()].filter(known => known.service === service && known.awaySince !== undefined).length,
       awayWhenLost: Math.round(this.#absences.get(Departure.Lost) ?? 0),
       awayWhenLeft: Math.round(this.#absences.get(Departure.Announced) ?? 0)
     }
--- a/packages/dispatch/src/fleetview.ts
+++ b/packages/dispatch/src/fleetview.ts
@@ -88,9 +88,9 @@
   pausedUntil = Number.NEGATIVE_INFINITY
 
   /** @param quietFactor factor by which pings on quiet links are less frequent than usual */
-  constructor (name: string, quiet = 1) {
+  constructor (name: string, quietFactor = 1) {
     this.name = name
-    this.#quietFactor = quiet
+    this.#quietFactor = quietFactor
   }
 
   /** @param usedUntil until when the target is used if it is leaving */
--- a/packages/dispatch/src/job.ts
+++ b/packages/dispatch/src/job.ts
@@ -47,7 +47,7 @@
   /** Number of the latest start. */
   attempt: number
   failures: number
-  /** Target at which it last failed or made no progress; other targets are preferred. */
+  /** Target at which it last failed, was lost in a crash or made no progress; other targets are preferred. */
   avoid: string
   /** Whether it was moved because it progressed too slowly. */
   moved: boolean
@@ -63,7 +63,7 @@
 /** Whether a job still has to be answered. */
 export enum JobState {
   Open = 'open',
-  /** Answered; some tasks may still be stopping. */
+  /** Answered, or left by its callers; some tasks may still be stopping. */
   Closed = 'closed'
 }
 
--- a/packages/dispatch/test/returns.test.ts
+++ b/packages/dispatch/test/returns.test.ts
@@ -110,12 +110,12 @@
   return Math.max(0, ...returned.values())
 }
 
-test('after a burst of 300 callers the returns do not exceed the free capacity', () => {
+test('after a burst of 300 callers the returns are spread over time', () => {
   const simulation = new Simulation().start(AGENTS).addCallers(320, 1000, 8000).addCallers(300, 3000, 500).runUntil(16_000)
   expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst, simulation.served]).toEqual([true, false, 620])
 })
 
-test('after the loss of a third of the fleet the returns do not exceed the free capacity', () => {
+test('after the loss of a third of the fleet the returns are spread over time', () => {
   const simulation = new Simulation().start(AGENTS).addCallers(700, 1000, 10_000).runUntil(3000).loseAgents(['a5', 'a6']).addCallers(300, 3000, 500).runUntil(20_000)
   expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst]).toEqual([true, false])
 })
