--- a/packages/dispatch/src/crashmemory.ts
+++ b/packages/dispatch/src/crashmemory.ts
@@ -1,6 +1,6 @@
 /** Records of the tasks that were on a target when it crashed or stopped responding, kept by its agent. */
 import type { CrashRecord } from './messages.ts'
-import { CRASH_MEMORY_MILLISECONDS, CRASHES_REMEMBERED } from './crashdefaults.ts'
+import { CRASH_RETENTION_MILLISECONDS, MAX_CRASH_RECORDS } from './crashdefaults.ts'
 import { CrashEvidence } from './messages.ts'
 
 interface RememberedCrash {
@@ -59,7 +59,7 @@
     return tasks.map(task => {
       const record = { task, instance, beside: tasks.length - 1, evidence, at: now }
       this.#records.set(keyOf(task, instance), record)
-      if (this.#records.size > CRASHES_REMEMBERED) this.#forgetOldest()
+      if (this.#records.size > MAX_CRASH_RECORDS) this.#forgetOldest()
       return crashRecordOf(record, now)
     })
   }
@@ -77,7 +77,7 @@
   /** Drops expired records. The map is in order of time. */
   #forgetOld (now: number): void {
     for (const [key, { at }] of this.#records) {
-      if (now - at < CRASH_MEMORY_MILLISECONDS) return
+      if (now - at < CRASH_RETENTION_MILLISECONDS) return
       this.#records.delete(key)
     }
   }
--- a/packages/dispatch/src/fleetspeeds.ts
+++ b/packages/dispatch/src/fleetspeeds.ts
@@ -114,7 +114,7 @@
     const usual = this.#learned.byKind.get(learned.kind) ?? 1
     // A target with a steady slow speed gets work in proportion; one that has just become slow may recover at any time and is probed.
     const changed = agent.pace > 0 && agent.steady === undefined && learned.speed < PROBED_SPEED * usual
-    agent.noteLearned(learned.speed * this.#mean, changed && this.#dependencies.policy.probesSlow)
+    agent.noteInferredSpeed(learned.speed * this.#mean, changed && this.#dependencies.policy.probesSlow)
     if (!changed || now - agent.slowNotedAt < SLOW_LOG_INTERVAL_MILLISECONDS) return
     agent.slowNotedAt = now
     this.#dependencies.note('target has become slow', { agent: agent.name, speed: Math.round(agent.speed * 100) / 100 })
--- a/packages/dispatch/src/placement.ts
+++ b/packages/dispatch/src/placement.ts
@@ -2,7 +2,7 @@
 import type { AgentView } from './fleetview.ts'
 import type { Step } from './job.ts'
 import type { Policy } from './policy.ts'
-import { SUSPECT_LOAD_MILLISECONDS } from './crashdefaults.ts'
+import { SUSPECT_LOAD_COST_MILLISECONDS } from './crashdefaults.ts'
 import { MAX_COUNTED_FAILURE_RATE } from './defaults.ts'
 import { Isolation } from './messages.ts'
 import { fits } from './resources.ts'
@@ -56,7 +56,7 @@
 /** Whether the target may get the task now: free resources, remaining lifetime, labels, isolation and the limit per target. */
 export function allows ({ step, expected, now, isolation, placedAt, hasPlace }: PlacementRequest, agent: AgentView): boolean {
   if (isolation !== Isolation.None && agent.hasSuspect) return false
-  if (!hasPlace(agent) || !fits(step.needs, agent.free) || !agent.outlasts(expected, now)) return false
+  if (!hasPlace(agent) || !fits(step.needs, agent.free) || !agent.canFinishBeforeLeaving(expected, now)) return false
   if (step.label !== '' && agent.target?.labels.includes(step.label) !== true) return false
   return step.perTarget === 0 || placedAt(agent) < step.perTarget
 }
@@ -83,8 +83,8 @@
   const { target } = agent
   if (target === undefined) return Infinity
   const remoteCost = target.dataCentre === dataCentre ? 0 : farPenalty
-  const loadCost = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
+  const loadCost = (isolation === Isolation.None ? policy.loadPenalty : SUSPECT_LOAD_COST_MILLISECONDS) * (agent.used.cpu + agent.others.cpu) / Math.max(1, target.capacity.cpu)
   const newTargetCost = isUsed(agent) ? 0 : policy.affinity * entries
-  const avoidance = isolation === Isolation.None ? expected : SUSPECT_LOAD_MILLISECONDS
+  const avoidance = isolation === Isolation.None ? expected : SUSPECT_LOAD_COST_MILLISECONDS
   return newTargetCost + remoteCost + loadCost + (agent.name === avoid ? avoidance : 0) + (agent.hasSuspect ? expected : 0)
 }
--- a/packages/dispatch/src/targetcapacity.ts
+++ b/packages/dispatch/src/targetcapacity.ts
@@ -1,7 +1,7 @@
 /** Free capacity of a target, computed from all runs that may be there, including those without a held task. */
 import type { HeldTask, HeldTasks } from './heldtasks.ts'
 import type { Resources } from './resources.ts'
-import { RUNS_LEFT_REMEMBERED } from './capacitydefaults.ts'
+import { MAX_ENDED_RUNS } from './capacitydefaults.ts'
 import { addTo, fits, NO_RESOURCES } from './resources.ts'
 
 export interface TargetCapacityDependencies {
@@ -131,7 +131,7 @@
   #remember (task: string, left: FormerTask): void {
     this.#left.delete(task)
     this.#left.set(task, left)
-    if (this.#left.size <= RUNS_LEFT_REMEMBERED) return
+    if (this.#left.size <= MAX_ENDED_RUNS) return
     const oldest = this.#left.keys().next().value
     if (oldest !== undefined) this.#left.delete(oldest)
   }
--- a/packages/dispatch/src/targetnotice.ts
+++ b/packages/dispatch/src/targetnotice.ts
@@ -1,5 +1,5 @@
 /** Leave notice of a target: when it was acknowledged, when the target ends, and which tasks may still start there. */
-import { NOTICE_CHANGE_MILLISECONDS } from './capacitydefaults.ts'
+import { MIN_NOTICE_CHANGE_MILLISECONDS } from './capacitydefaults.ts'
 import { MAX_START_TIMEOUT_MILLISECONDS } from './defaults.ts'
 
 /** Fields of an announcement that concern the leave notice. */
@@ -29,7 +29,7 @@
     this.#announcedStaying ||= !leaving
     this.#leaving = leaving
     this.#endsAt = leaving && remaining !== undefined ? now + remaining : Number.NEGATIVE_INFINITY
-    return before !== this.#endsAt && !(Math.abs(before - this.#endsAt) < NOTICE_CHANGE_MILLISECONDS)
+    return before !== this.#endsAt && !(Math.abs(before - this.#endsAt) < MIN_NOTICE_CHANGE_MILLISECONDS)
   }
 
   /** Handles a suspension of the machine. Its clock stood still, so the time since the acknowledgement is no longer known. */
--- a/packages/dispatch/src/taskplacer.ts
+++ b/packages/dispatch/src/taskplacer.ts
@@ -7,7 +7,7 @@
 import type { Policy } from './policy.ts'
 import type { AllocationRequest } from './allocationrequest.ts'
 import type { Grant } from './peermessages.ts'
-import { endOfStep, JobState, TaskState } from './job.ts'
+import { latestEndOfStep, JobState, TaskState } from './job.ts'
 import { Isolation } from './messages.ts'
 import { choose } from './placement.ts'
 import { RequestQueue } from './requestqueue.ts'
@@ -47,7 +47,7 @@
 
   /** Places what fits; jobs and requests with unplaced tasks go back into their queues. */
   place (candidates: Candidates, jobs: JobQueue | undefined, requests: RequestQueue = NO_REQUESTS, now: number): void {
-    this.#dependencies.fleet.farCost.clearLoads()
+    this.#dependencies.fleet.remoteCost.clearLoads()
     const unplacedJobs: Job[] = []
     const unmetRequests: AllocationRequest[] = []
     const { scanLimit } = this.#dependencies.policy
@@ -91,12 +91,12 @@
         step,
         expected: job.expected[task.step] ?? 0,
         now,
-        left: this.#dependencies.policy.placesBySlack ? endOfStep(job, task.step) - now : Infinity,
+        left: this.#dependencies.policy.placesBySlack ? latestEndOfStep(job, task.step) - now : Infinity,
         avoid: task.avoid,
         isolation: task.isolation,
         dataCentre: this.#dependencies.dataCentre,
         placedAt: ({ name }) => counts.at(task.step, name),
-        hasPlace: agent => agent.hasPlace(),
+        hasPlace: agent => agent.healthAllowsMore(),
         isUsed: agent => agent.placements.size > 0,
         entries: this.#dependencies.entries(),
         policy: this.#dependencies.policy,
@@ -125,7 +125,7 @@
 
   /** Modifies the request in place: copying it for each task would take longer than the choice itself. */
   #choose (request: PlacementRequest, candidates: readonly AgentView[], service: string): AgentView | undefined {
-    const { policy, fleet: { farCost, speeds } } = this.#dependencies
+    const { policy, fleet: { remoteCost: farCost, speeds } } = this.#dependencies
     // Entries of earlier builds omit the time left.
     if (!policy.placesBySlack || request.left === Infinity) return choose(request, candidates)
     request.farPenalty = farCost.of(request.dataCentre)
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -8,7 +8,7 @@
 import type { TargetCapacity } from './targetcapacity.ts'
 import type { TargetWatch } from './targetwatch.ts'
 import { RunEnd, StartAnswer } from './agenttypes.ts'
-import { STRAY_MILLISECONDS } from './crashdefaults.ts'
+import { ORPHANED_RUN_MILLISECONDS } from './crashdefaults.ts'
 import { STOP_TIMEOUT_MILLISECONDS, STOPS_BEFORE_EXPIRY } from './defaults.ts'
 import { Stage } from './heldtasks.ts'
 import { Cause, Outcome } from './messages.ts'
@@ -216,7 +216,7 @@
     }
     this.#strays = orphaned
     this.#held.hasOrphanedRuns = orphaned.size > 0
-    this.#held.orphanedRunPersists = [...orphaned.values()].some(since => now - since >= STRAY_MILLISECONDS)
+    this.#held.orphanedRunPersists = [...orphaned.values()].some(since => now - since >= ORPHANED_RUN_MILLISECONDS)
     this.#parts.room.notePoll(runs, sent, now)
     if (ended.length < MAX_ENDS_PER_POLL) {
       for (const held of this.#held.all()) if (!runs.has(runKey(held.order.task, held.run))) this.#noteMissing(held, sent, now)
--- a/packages/dispatch/test/evacuations.test.ts
+++ b/packages/dispatch/test/evacuations.test.ts
@@ -91,7 +91,7 @@
 test('an entry that cannot read the store receives evacuations from another entry', () => {
   const bench = entryWithAgentsIn('one', 'two')
   bench.peer('other')
-  bench.hear('other', { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 5, dataCentres: ['one'] } })
   bench.take()
   bench.submit('job')
   expect(bench.starts()).toEqual(['two job.0.0 1'])
@@ -102,9 +102,9 @@
   bench.peer('other')
   readEvacuations(bench, 9, 'one')
   bench.take()
-  bench.hear('other', { type: 'evacuations', state: { revision: 8, dataCentres: ['one'] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 8, dataCentres: ['one'] } })
   expect(bench.told('other')).toEqual([])
-  bench.hear('other', { type: 'evacuations', state: { revision: 7, dataCentres: [] } })
+  bench.receive('other', { type: 'evacuations', state: { revision: 7, dataCentres: [] } })
   expect(bench.told('other')).toEqual([{ type: 'evacuations', state: { revision: 9, dataCentres: ['one'] } }])
 })
 
--- a/packages/dispatch/test/learnedspeeds.test.ts
+++ b/packages/dispatch/test/learnedspeeds.test.ts
@@ -14,7 +14,7 @@
 
 /** An entry that has just been linked to its fleet. */
 function startedEntry (): EntryBench {
-  const bench = EntryBench.under(POLICY)
+  const bench = EntryBench.withPolicy(POLICY)
   for (const name of SLOW) bench.link(name, { labels: ['a'] })
   for (const name of FAST) bench.link(name, { labels: ['b'] })
   return bench
@@ -100,7 +100,7 @@
     return agent
   })
   speeds.review(agents, 0)
-  agents[0]?.noteLearned(0.5, false)
+  agents[0]?.noteInferredSpeed(0.5, false)
   expect(speeds.fastest('checks', '')).toEqual(0.5)
 })
 
--- a/packages/dispatch/test/leavingtargets.test.ts
+++ b/packages/dispatch/test/leavingtargets.test.ts
@@ -142,7 +142,7 @@
   ['is not used while the setting is off', {}, 2000, false]
 ] as const) {
   test(`an entry's only target that leaves ${name}`, () => {
-    const bench = EntryBench.under(policy, 'agent-1')
+    const bench = EntryBench.withPolicy(policy, 'agent-1')
     leave(bench, 'agent-1', remaining)
     bench.submit('a', [step(1)])
     expect(bench.starts()).toEqual(used ? ['agent-1 a.0.0 1'] : [])
@@ -151,7 +151,7 @@
 
 // Estimates are off by 40%, so a task that would probably be cut off is placed on a target that stays.
 test('a long task is placed on the target that stays, although the leaving one has more free capacity', () => {
-  const bench = EntryBench.under({ usesLeaving: true }, 'agent-1', 'agent-2')
+  const bench = EntryBench.withPolicy({ usesLeaving: true }, 'agent-1', 'agent-2')
   bench.ping('agent-2', 4000)
   leave(bench, 'agent-1', 1000)
   bench.submit('long', [step(1, { estimated: 900 })])
@@ -160,7 +160,7 @@
 })
 
 test('an entry also counts down the remaining time of a leaving target', () => {
-  const bench = EntryBench.under({ usesLeaving: true }, 'agent-1')
+  const bench = EntryBench.withPolicy({ usesLeaving: true }, 'agent-1')
   leave(bench, 'agent-1', 1000)
   bench.pass(500, ['agent-1'])
   bench.submit('a', [step(1)])
--- a/packages/dispatch/test/returns.test.ts
+++ b/packages/dispatch/test/returns.test.ts
@@ -1,14 +1,14 @@
-/** Refused callers that come back: when they are told to, and what they find. */
+/** Returns of refused callers: when they are asked to return, and whether they are admitted then. */
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { RETURNS_TOLD } from '../src/admissiondefaults.ts'
+import { MAX_RETURNS_PER_REPORT } from '../src/admissiondefaults.ts'
 import { Arrival, Returns } from '../src/returns.ts'
 import { EntryBench, step } from './entrybench.ts'
 
 const AGENTS = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6']
 const RUN = 300
 const STEP = 10
-const JUST_AFTER = 100
+const NEWCOMER_WINDOW = 100
 
 interface Caller {
   id: string
@@ -16,17 +16,20 @@
   refusals: number
 }
 
-/** Callers of one entry with six targets of 8 cores, which can do 80 of their jobs a second. All come back as they are told. */
-class Play {
+/**
+ * Simulates callers of one entry with six targets of 8 cores, which can serve 80 of their jobs a second. All return
+ * when they are asked to.
+ */
+class Simulation {
   readonly bench = new EntryBench({ policy: { fleetAdmission: true, reservesReturns: true } })
   agents: string[] = []
-  /** Callers that came back, by second. */
+  /** Number of callers that returned, by second. */
   readonly returned = new Map<number, number>()
-  /** A newcomer was let in just after somebody was refused for the third time. */
-  passedOver = false
+  /** Whether a first arrival was admitted just after a caller was refused for the third time. */
+  newcomerFirst = false
   served = 0
   #number = 0
-  #coming: Caller[] = []
+  #arrivals: Caller[] = []
   readonly #waiting = new Map<number, Caller>()
   #running: Array<{ agent: string, task: string, ends: number }> = []
   #thriceRefusedAt = Number.NEGATIVE_INFINITY
@@ -37,21 +40,21 @@
     return this
   }
 
-  /** Callers that come for the first time, spread over a time. */
-  come (count: number, from: number, lasts: number): this {
+  /** Adds callers that arrive for the first time, spread over a period. */
+  addCallers (count: number, from: number, lasts: number): this {
     for (let index = 0; index < count; index += 1) {
       this.#number += 1
-      this.#coming.push({ id: `caller${this.#number}`, at: from + lasts * index / count, refusals: 0 })
+      this.#arrivals.push({ id: `caller${this.#number}`, at: from + lasts * index / count, refusals: 0 })
     }
     return this
   }
 
-  until (end: number): this {
+  runUntil (end: number): this {
     while (this.bench.now < end) this.#step()
     return this
   }
 
-  lose (agents: string[]): this {
+  loseAgents (agents: string[]): this {
     for (const agent of agents) this.bench.do({ type: 'agentUnlinked', agent })
     this.agents = this.agents.filter(agent => !agents.includes(agent))
     this.#running = this.#running.filter(({ agent }) => !agents.includes(agent))
@@ -65,10 +68,10 @@
     bench.do({ type: 'tick' })
     for (const { agent, task } of this.#running.filter(({ ends }) => ends <= bench.now)) bench.end(agent, task)
     this.#running = this.#running.filter(({ ends }) => ends > bench.now)
-    const due = this.#coming.filter(({ at }) => at <= bench.now)
-    this.#coming = this.#coming.filter(({ at }) => at > bench.now)
+    const due = this.#arrivals.filter(({ at }) => at <= bench.now)
+    this.#arrivals = this.#arrivals.filter(({ at }) => at > bench.now)
     for (const caller of due) this.#submit(caller)
-    this.#takeIn()
+    this.#processEffects()
   }
 
   #submit (caller: Caller): void {
@@ -77,10 +80,10 @@
     this.#waiting.set(this.bench.submit(caller.id, [step(1)], { remaining: 13_000 }), caller)
   }
 
-  #takeIn (): void {
+  #processEffects (): void {
     for (const effect of this.bench.take()) {
       if (effect.type === 'send' && effect.message.type === 'start') for (const { task } of effect.message.tasks) this.#running.push({ agent: effect.agent, task, ends: this.bench.now + RUN })
-      if (effect.type === 'note' && effect.what === 'job taken') this.#letIn(effect.fields.job as string)
+      if (effect.type === 'note' && effect.what === 'job taken') this.#noteAdmitted(effect.fields.job as string)
       if (effect.type !== 'answer') continue
       const caller = this.#waiting.get(effect.request)
       this.#waiting.delete(effect.request)
@@ -90,58 +93,58 @@
     }
   }
 
-  #letIn (id: string): void {
+  #noteAdmitted (id: string): void {
     const caller = [...this.#waiting.values()].find(waiting => waiting.id === id)
-    if (caller?.refusals === 0 && this.bench.now - this.#thriceRefusedAt < JUST_AFTER) this.passedOver = true
+    if (caller?.refusals === 0 && this.bench.now - this.#thriceRefusedAt < NEWCOMER_WINDOW) this.newcomerFirst = true
   }
 
   #refused (caller: Caller, retryAfter: number): void {
     caller.refusals += 1
     if (caller.refusals >= 3) this.#thriceRefusedAt = this.bench.now
-    this.#coming.push({ ...caller, at: this.bench.now + retryAfter })
+    this.#arrivals.push({ ...caller, at: this.bench.now + retryAfter })
   }
 }
 
-/** Callers in the worst second of returns. */
-function peak ({ returned }: Play): number {
+/** Returns in the busiest second. */
+function busiestSecond ({ returned }: Simulation): number {
   return Math.max(0, ...returned.values())
 }
 
-test('after a burst of 300 callers the returns arrive as room does', () => {
-  const play = new Play().start(AGENTS).come(320, 1000, 8000).come(300, 3000, 500).until(16_000)
-  expect([peak(play) <= 80, play.passedOver, play.served]).toEqual([true, false, 620])
+test('after a burst of 300 callers the returns are spread over time', () => {
+  const simulation = new Simulation().start(AGENTS).addCallers(320, 1000, 8000).addCallers(300, 3000, 500).runUntil(16_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst, simulation.served]).toEqual([true, false, 620])
 })
 
-test('after the loss of a third of the fleet the returns arrive as room does', () => {
-  const play = new Play().start(AGENTS).come(700, 1000, 10_000).until(3000).lose(['a5', 'a6']).come(300, 3000, 500).until(20_000)
-  expect([peak(play) <= 80, play.passedOver]).toEqual([true, false])
+test('after the loss of a third of the fleet the returns are spread over time', () => {
+  const simulation = new Simulation().start(AGENTS).addCallers(700, 1000, 10_000).runUntil(3000).loseAgents(['a5', 'a6']).addCallers(300, 3000, 500).runUntil(20_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst]).toEqual([true, false])
 })
 
-test('after a loss of power the callers that all come at once do not come back at once', () => {
-  const play = new Play().start([]).come(300, 1000, 300).until(1400)
-  for (const agent of AGENTS) play.bench.link(agent)
-  play.agents = AGENTS
-  play.come(320, 1500, 8000).until(16_000)
-  expect([peak(play) <= 80, play.passedOver, play.served]).toEqual([true, false, 620])
+test('callers that all arrive at once after a loss of power do not return at once', () => {
+  const simulation = new Simulation().start([]).addCallers(300, 1000, 300).runUntil(1400)
+  for (const agent of AGENTS) simulation.bench.link(agent)
+  simulation.agents = AGENTS
+  simulation.addCallers(320, 1500, 8000).runUntil(16_000)
+  expect([busiestSecond(simulation) <= 80, simulation.newcomerFirst, simulation.served]).toEqual([true, false, 620])
 })
 
-test('a return is booked for a second that has room', () => {
+test('a return is booked for a second with free capacity', () => {
   const returns = new Returns()
-  const told = Array.from({ length: 100 }, (_none, index) => returns.refused(`job${index}`, 'kind', 40, 1000))
-  const bySecond = [1000, 2000, 3000, 4000].map(pause => told.filter(value => value === pause).length)
+  const waits = Array.from({ length: 100 }, (_none, index) => returns.refused(`job${index}`, 'kind', 40, 1000))
+  const bySecond = [1000, 2000, 3000, 4000].map(pause => waits.filter(value => value === pause).length)
   expect(bySecond).toEqual([10, 10, 10, 10])
 })
 
-test('who comes back as told goes first, once', () => {
+test('a caller that returns on time has precedence once', () => {
   const returns = new Returns()
   expect(returns.arrival('job', 1000)).toEqual(Arrival.First)
   expect(returns.refused('job', 'kind', 40, 1000)).toEqual(1000)
-  expect([returns.arrival('job', 1990), returns.arrival('job', 3000)]).toEqual([Arrival.AsTold, Arrival.AsTold])
-  returns.served('job')
+  expect([returns.arrival('job', 1990), returns.arrival('job', 3000)]).toEqual([Arrival.OnTime, Arrival.OnTime])
+  returns.noteAdmitted('job')
   expect(returns.arrival('job', 2000)).toEqual(Arrival.First)
 })
 
-test('who comes back sooner is told the time that he was told', () => {
+test('a caller that returns early is given the same time again', () => {
   const returns = new Returns()
   for (let index = 0; index < 10; index += 1) returns.refused(`other${index}`, 'kind', 10, 1000)
   returns.refused('job', 'kind', 10, 1000)
@@ -150,35 +153,35 @@
   expect(1500 + returns.refused('job', 'kind', 10, 1500) - due < 1000).toEqual(true)
 })
 
-test('who was refused twice goes first though no room was kept', () => {
+test('a caller that was refused twice has precedence without reserved capacity', () => {
   const returns = new Returns()
   for (let index = 0; index < 200; index += 1) returns.refused(`other${index}`, 'kind', 2, 1000)
   const first = returns.refused('job', 'kind', 2, 1000)
   expect(returns.arrival('job', 1000 + first)).toEqual(Arrival.First)
   for (let index = 0; index < 200; index += 1) returns.refused(`more${index}`, 'kind', 2, 1000 + first)
   const second = returns.refused('job', 'kind', 2, 1000 + first)
-  expect(returns.arrival('job', 1000 + first + second)).toEqual(Arrival.AsTold)
+  expect(returns.arrival('job', 1000 + first + second)).toEqual(Arrival.OnTime)
 })
 
-test('who comes back through another entry goes first there', () => {
+test('a caller that returns through another entry has precedence there', () => {
   const [one, other] = [new Returns(), new Returns()]
   one.refused('job', 'kind', 40, 1000)
-  other.heard(one.takeNews(1100), 5100)
-  expect([other.arrival('job', 5200), other.arrival('job', 6000)]).toEqual([Arrival.Early, Arrival.AsTold])
+  other.receive(one.takeNews(1100), 5100)
+  expect([other.arrival('job', 5200), other.arrival('job', 6000)]).toEqual([Arrival.Early, Arrival.OnTime])
 })
 
-// Without admission by the whole fleet, or without demand to tell, nobody takes the news.
-test('news that nobody takes are dropped but for those of one message', () => {
+// Without fleet admission, or without demand to report, the notices are never taken.
+test('notices that are never taken are bounded to those of one message', () => {
   const returns = new Returns()
-  for (let index = 0; index < 2 * RETURNS_TOLD; index += 1) returns.refused(`job${index}`, 'kind', 100, 1000)
-  expect(returns.newsSize).toEqual(RETURNS_TOLD)
-  expect(returns.takeNews(1000).at(-1)?.id).toEqual(`job${2 * RETURNS_TOLD - 1}`)
+  for (let index = 0; index < 2 * MAX_RETURNS_PER_REPORT; index += 1) returns.refused(`job${index}`, 'kind', 100, 1000)
+  expect(returns.newsSize).toEqual(MAX_RETURNS_PER_REPORT)
+  expect(returns.takeNews(1000).at(-1)?.id).toEqual(`job${2 * MAX_RETURNS_PER_REPORT - 1}`)
 })
 
-// Guards against a peer that lets callers in, or keeps them out, by a word that makes no sense.
-test('a notice of a return that makes no sense is left out', () => {
+// A malformed notice of a peer must neither give callers precedence nor keep them out.
+test('a malformed notice of a return is ignored', () => {
   const returns = new Returns()
-  returns.heard([{ id: 'a', within: -1, refusals: 1, booked: true }, { id: 'b', within: 1e12, refusals: 1, booked: true }, { id: 'c'.repeat(1000), within: 1, refusals: 1, booked: true }, undefined, 7], 1000)
-  returns.heard('nothing', 1000)
+  returns.receive([{ id: 'a', within: -1, refusals: 1, booked: true }, { id: 'b', within: 1e12, refusals: 1, booked: true }, { id: 'c'.repeat(1000), within: 1, refusals: 1, booked: true }, undefined, 7], 1000)
+  returns.receive('nothing', 1000)
   expect(['a', 'b', 'c'.repeat(1000)].map(id => returns.arrival(id, 1000))).toEqual([Arrival.First, Arrival.First, Arrival.First])
 })
