--- a/packages/bench/src/detectionfleet.ts
+++ b/packages/bench/src/detectionfleet.ts
@@ -18,7 +18,7 @@
 import { Slots } from '@amaranthmast/coordination/slots'
 import { isMember } from '@amaranthmast/coordination/view'
 import { CONFIGURATION_POLL_MILLISECONDS, TICK_MILLISECONDS, VIEW_POLL_MILLISECONDS } from '@amaranthmast/daemon/defaults'
-import { silenceOf } from '@amaranthmast/daemon/silence'
+import { linkTimeout } from '@amaranthmast/daemon/silence'
 import type { FleetProcess } from './detectionprocess.ts'
 import { EventLoop } from './eventloop.ts'
 import { DetectionNetwork } from './detectionnetwork.ts'
@@ -98,7 +98,7 @@
     this.#options = options
     this.random = seededRandom(options.seed)
     this.store = new DetectionStore(this.loop, this.random)
-    this.network = new DetectionNetwork(this.loop, this.random, options.silence ?? silenceOf(options.timings), {
+    this.network = new DetectionNetwork(this.loop, this.random, options.silence ?? linkTimeout(options.timings), {
       process: instance => this.#processes.get(instance),
       deliver: (process, run) => this.#deliver(process, run),
       connected: (process, peer, dialled) => this.#connected(process, peer, dialled),
--- a/packages/bench/src/detectionnetwork.ts
+++ b/packages/bench/src/detectionnetwork.ts
@@ -4,7 +4,7 @@
  * break. Packets that meet a cut are sent again after 0.2, 0.6, 1.4, 3 and 6.2 s, as TCP does.
  */
 import type { Instance } from '@amaranthmast/coordination/messages'
-import { CONNECT_TIMEOUT_MILLISECONDS, OWN_PAUSE_MILLISECONDS, RECONNECT_FIRST_MILLISECONDS, RECONNECT_LAST_MILLISECONDS, SWEEP_MILLISECONDS } from '@amaranthmast/daemon/defaults'
+import { CONNECT_TIMEOUT_MILLISECONDS, PROCESS_PAUSE_MILLISECONDS, MIN_RECONNECT_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS, MIN_SWEEP_INTERVAL_MILLISECONDS } from '@amaranthmast/daemon/defaults'
 import type { EventLoop } from './eventloop.ts'
 import type { FleetProcess } from './detectionprocess.ts'
 import { logUniform } from './random.ts'
@@ -99,10 +99,10 @@
   sweep (process: FleetProcess): void {
     const { now } = this.#loop
     const last = this.#swept.get(process.instance) ?? now
-    if (now - last < SWEEP_MILLISECONDS && this.#swept.has(process.instance)) return
+    if (now - last < MIN_SWEEP_INTERVAL_MILLISECONDS && this.#swept.has(process.instance)) return
     this.#swept.set(process.instance, now)
     for (const [peer, end] of this.#links.get(process.instance) ?? []) {
-      if (end.heard || now - last > OWN_PAUSE_MILLISECONDS) end.lastHeard = now
+      if (end.heard || now - last > PROCESS_PAUSE_MILLISECONDS) end.lastHeard = now
       end.heard = false
       if (now - end.lastHeard > this.#silence) this.#close(process.instance, peer)
     }
@@ -231,7 +231,7 @@
 }
 
 function longestWait (failures: number): number {
-  return Math.min(RECONNECT_FIRST_MILLISECONDS * 2 ** failures, RECONNECT_LAST_MILLISECONDS)
+  return Math.min(MIN_RECONNECT_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
 }
 
 function pair (from: Instance, to: Instance): string {
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,5 +1,5 @@
 /** `explain JOB LOG...`: one job's story over all processes. */
-import { JobStory } from '@amaranthmast/logs/story'
+import { JobTimeline } from '@amaranthmast/logs/story'
 import type { Command } from './command.ts'
 import { ExitCode } from './exitcodes.ts'
 import { describeUnreadable, readLogs } from './logfiles.ts'
@@ -15,8 +15,8 @@
   },
   examples: [['$0 explain 5c0e7a21d94b36f8 *.log', 'from a complaint to its cause']],
   run: (context, { job, logs }) => {
-    const story = new JobStory(job)
-    return readLogs(context, logs, line => story.take(line)).map(unreadable => {
+    const story = new JobTimeline(job)
+    return readLogs(context, logs, line => story.add(line)).map(unreadable => {
       const found = story.lines.length > 0
       const lines = found ? story.text() : [`no line is about job ${job}: the id may be wrong, or its lines were dropped (see the lines "lines dropped")`]
       return {
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -1,5 +1,5 @@
 /** `losses LOG...`: which jobs were late, refused or failed, when, and why. */
-import type { Tallied } from '@amaranthmast/logs/tally'
+import type { CountedKey } from '@amaranthmast/logs/tally'
 import { Losses } from '@amaranthmast/logs/losses'
 import { Tally } from '@amaranthmast/logs/tally'
 import type { Command } from './command.ts'
@@ -20,7 +20,7 @@
   run: (context, { logs }) => {
     const tally = new Tally()
     const found = new Losses(lost => tally.add(lost))
-    return readLogs(context, logs, line => found.take(line)).map(unreadable => {
+    return readLogs(context, logs, line => found.add(line)).map(unreadable => {
       found.finish()
       return { exitCode: ExitCode.Done, lines: [...report(tally, found.inTime), ...describeUnreadable(unreadable)], json: { inTime: found.inTime, lost: tally.total, byCause: tally.byCause, bySecond: tally.bySecond, byEntry: tally.byEntry, byAgent: tally.byAgent, unreadable } }
     })
@@ -37,7 +37,7 @@
   ]
 }
 
-function section (heading: string, rows: readonly Tallied[]): string[] {
+function section (heading: string, rows: readonly CountedKey[]): string[] {
   if (rows.length === 0) return []
   const left = rows.length - ROWS
   return ['', ...formatTable([heading, 'jobs'], rows.slice(0, ROWS).map(({ key, count }) => [key, String(count)])), ...(left > 0 ? [`and ${left} more, see --json`] : [])]
--- a/packages/daemon/src/agentdaemon.ts
+++ b/packages/daemon/src/agentdaemon.ts
@@ -1,4 +1,4 @@
-/** The daemon in the role of an agent: the edges around the decision logic. */
+/** The daemon in the agent role: connects the decision logic to the target, the entries and the store. */
 import { Agent } from '@amaranthmast/coordination/agent'
 import type { AgentEffect, AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import { AgentState } from '@amaranthmast/coordination/agenttypes'
@@ -19,9 +19,9 @@
 import { Loop, runLoop } from './loop.ts'
 import { Direction, ProcessMetrics } from './metrics.ts'
 import { Seeds } from './seeds.ts'
-import { silenceOf } from './silence.ts'
+import { linkTimeout } from './silence.ts'
 import { StatusPort } from './status.ts'
-import { Target } from './targets.ts'
+import { TargetClient } from './targets.ts'
 import { plainView } from './viewcodec.ts'
 import { ViewReader } from './viewreader.ts'
 
@@ -34,10 +34,10 @@
   readonly #viewReader: ViewReader
   readonly #seeds: Seeds
   readonly #entries: Entries
-  readonly #target: Target
+  readonly #target: TargetClient
   readonly #status: StatusPort
   readonly #agent: Agent
-  readonly #silence: number
+  readonly #linkTimeout: number
   #state = AgentState.Joining
 
   readonly #handlers: EffectHandlers<AgentEffect> = {
@@ -61,24 +61,24 @@
     const { instance, log, now, random } = environment
     const post = (event: AgentEvent) => this.#loop.post(event)
     const timings = { ...DEFAULT_TIMINGS, ...settings.timings }
-    this.#silence = silenceOf(timings)
+    this.#linkTimeout = linkTimeout(timings)
     this.#settings = settings
     this.#environment = environment
     this.#client = new KeyValueClient({ endpoints: settings.store.endpoints, timeoutMilliseconds: settings.store.timeoutMilliseconds, random, now })
     this.#viewReader = new ViewReader({ client: this.#client, settings: settings.store, log, now, random }, event => {
       if (event.type === 'viewRead') post({ type: 'viewRead', view: event.view })
-      else this.#askSeeds()
+      else this.#requestViewFromSeeds()
     })
     this.#seeds = new Seeds(environment, settings.seeds)
     this.#entries = new Entries(environment, event => this.#received(event))
-    this.#target = new Target(settings.target.url, settings.target.slots, post, now)
+    this.#target = new TargetClient(settings.target.url, settings.target.slots, post, now)
     const health = { ready: () => this.#state === AgentState.Serving, state: () => this.#state }
-    this.#status = new StatusPort({ ...health, metrics: () => this.#exposed(), status: () => this.#statusPage() })
+    this.#status = new StatusPort({ ...health, metrics: () => this.#metricsText(), status: () => this.#statusPage() })
     const target = describeTarget(settings)
     this.#agent = new Agent({ instance, target, slots: new Slots({ ...target, queueLimit: target.slots * QUEUE_PER_SLOT }), timings })
   }
 
-  /** Port of the status listener. */
+  /** Starts the status listener and returns its port. */
   async listen (): Promise<Result<number, ListenError>> {
     return await this.#status.listen(this.#settings.status.host, this.#settings.status.port)
   }
@@ -109,13 +109,13 @@
     await this.#client.close()
   }
 
-  async #askSeeds (): Promise<void> {
+  async #requestViewFromSeeds (): Promise<void> {
     const view = await this.#seeds.view()
     if (view !== undefined) this.#loop.post({ type: 'viewRead', view })
   }
 
   #tick (): void {
-    this.#entries.sweep(this.#environment.now(), this.#silence)
+    this.#entries.sweep(this.#environment.now(), this.#linkTimeout)
     this.#loop.post({ type: 'tick' })
   }
 
@@ -128,7 +128,7 @@
     return { entries: this.#entries.size, calls: this.#target.size }
   }
 
-  #exposed (): string {
+  #metricsText (): string {
     const exposition = new Exposition()
     this.#metrics.expose(exposition, this.#state, this.#sizes())
     return exposition.text()
--- a/packages/daemon/src/agents.ts
+++ b/packages/daemon/src/agents.ts
@@ -40,9 +40,9 @@
   }
 
   /** Sends what has waited for company, and closes links that have been silent for longer than `silence` milliseconds. */
-  sweep (now: number, silence: number): void {
+  sweep (now: number, timeout: number): void {
     this.#links.flush()
-    this.#links.sweep(now, silence)
+    this.#links.sweep(now, timeout)
   }
 
   /** Lets what waits leave and ends the streams in order. */
--- a/packages/daemon/src/agentservice.ts
+++ b/packages/daemon/src/agentservice.ts
@@ -1,4 +1,4 @@
-/** The process of an agent under leases: the edges around its decision logic. */
+/** Runs a lease-based agent: connects its decision logic to the target, the entries and the store. */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { EntryMessage } from '@amaranthmast/dispatch/messages'
 import type { Greeting } from '@amaranthmast/links/greeting'
@@ -30,11 +30,11 @@
   wallClock: () => number
 }
 
-/** Without a link to any entry for this long, the agent goes to those that it knows, in milliseconds. */
-const LONELY_MILLISECONDS = 700
+/** Time without a link to any entry after which the agent dials the entries that it knows, in milliseconds. */
+const UNLINKED_MILLISECONDS = 700
 
-/** Part of the grace that is kept for the end of the process itself, in milliseconds. */
-const END_RESERVE_MILLISECONDS = 400
+/** Time at the end of the grace period that is reserved for the exit of the process, in milliseconds. */
+const EXIT_RESERVE_MILLISECONDS = 400
 
 export class AgentService {
   readonly #options: AgentServiceOptions
@@ -42,14 +42,14 @@
   readonly #agent: Agent
   readonly #target: TargetPort
   readonly #listener: Listener
-  /** Visits to entries that may not know of this agent. */
-  readonly #visits: Dialer
+  /** Dials entries that may not have the address of this agent; an entry that is dialled opens its own link in return. */
+  readonly #entryDialer: Dialer
   readonly #suspension: SuspensionWatch
   readonly #metricsListener: MetricsListener
   readonly #lag: LoopLag
   readonly #entryAddresses = new Set<string>()
   readonly #linked = new Set<string>()
-  #visitedAt: number
+  #entriesDialledAt: number
   #stopOrderedAt: number | undefined
 
   readonly #handlers: EffectHandlers<AgentEffect> = {
@@ -67,7 +67,7 @@
   constructor (options: AgentServiceOptions) {
     const { settings, incarnation, decisions, now, wallClock } = options
     this.#options = options
-    this.#visitedAt = now()
+    this.#entriesDialledAt = now()
     this.#agent = new Agent({ timings: timingsFor(settings.bounds), stop: settings.bounds.stop, drain: settings.bounds.drain, wallClock, policy: policyOf(settings.scheduling) })
     this.#suspension = new SuspensionWatch(now, wallClock)
     const own: Greeting = { role: PeerRole.Agent, name: settings.id, incarnation, address: settings.linkAddress }
@@ -85,18 +85,18 @@
         post({ type: 'entryUnlinked', entry: `${peer.name}#${peer.incarnation}` })
       }
     })
-    this.#visits = new Dialer(own, { linked: () => {}, received: () => {}, unlinked: () => {} }, now)
+    this.#entryDialer = new Dialer(own, { linked: () => {}, received: () => {}, unlinked: () => {} }, now)
     this.#lag = new LoopLag({ threshold: lateTurnThreshold(settings.bounds.stop), now, note: decisions.decision })
-    this.#metricsListener = new MetricsListener(() => this.#exposed(), decisions.log)
+    this.#metricsListener = new MetricsListener(() => this.#metricsText(), decisions.log)
   }
 
-  /** Runs until it was told to stop and nothing runs any more; rejects with a fault of the program. */
+  /** Runs until it has been stopped and no task is running; rejects when the program has an internal error. */
   async run (): Promise<void> {
     const { settings, store, now } = this.#options
     await this.#listener.listen(settings.host, settings.linkPort)
     this.#metricsListener.listen(settings.metrics.host, settings.metrics.port)
     store.publish({ name: settings.id, role: PeerRole.Agent, address: settings.linkAddress })
-    this.#recallTarget()
+    this.#readTargetFacts()
     const ticker = new Ticker(() => this.#tick(), () => this.#agent.busy || this.#stopOrderedAt !== undefined, this.#lag)
     ticker.start()
     try {
@@ -114,20 +114,20 @@
 
   async close (): Promise<void> {
     this.#listener.close()
-    this.#visits.close()
+    this.#entryDialer.close()
     this.#metricsListener.close()
     this.#target.close()
     await this.#options.store.close()
   }
 
-  /** A suspension is told before anything that waited behind it. */
+  /** Posts an event. After a suspension of the machine, the `woke` event is posted first, ahead of anything that queued up meanwhile. */
   #post (event: AgentEvent): void {
     const asleep = this.#suspension.check()
     if (asleep > 0) this.#loop.post({ type: 'woke', asleep })
     this.#loop.post(event)
   }
 
-  async #recallTarget (): Promise<void> {
+  async #readTargetFacts (): Promise<void> {
     const facts = await this.#options.store.recallTarget(this.#options.settings.id)
     if (facts !== undefined) this.#post({ type: 'targetRemembered', facts })
   }
@@ -139,21 +139,21 @@
 
   #tick (): void {
     this.#post({ type: 'tick' })
-    this.#visitIfLonely()
+    this.#dialEntriesIfUnlinked()
     if (this.#stopOrderedAt === undefined) return
-    if (this.#options.now() - this.#stopOrderedAt >= this.#options.settings.bounds.grace - END_RESERVE_MILLISECONDS) this.#loop.end()
+    if (this.#options.now() - this.#stopOrderedAt >= this.#options.settings.bounds.grace - EXIT_RESERVE_MILLISECONDS) this.#loop.end()
   }
 
-  /** No entry has dialled: after a restart while the store is down, none may know where this agent is. */
-  #visitIfLonely (): void {
+  /** Dials the known entries when none is linked: after a restart while the store is down, no entry may have this agent's address. */
+  #dialEntriesIfUnlinked (): void {
     const now = this.#options.now()
-    if (this.#linked.size > 0 || now - this.#visitedAt < LONELY_MILLISECONDS) return
-    this.#visitedAt = now
+    if (this.#linked.size > 0 || now - this.#entriesDialledAt < UNLINKED_MILLISECONDS) return
+    this.#entriesDialledAt = now
     const { seeds, linkPort } = this.#options.settings
-    for (const address of [...seeds.map(seed => `${seed}:${linkPort}`), ...this.#entryAddresses]) this.#visits.add(address)
+    for (const address of [...seeds.map(seed => `${seed}:${linkPort}`), ...this.#entryAddresses]) this.#entryDialer.add(address)
   }
 
-  #exposed (): string {
+  #metricsText (): string {
     const exposition = new Exposition()
     const { tasks, entries, cleared, silent, ends, strays } = this.#agent.status()
     const sizes = { tasks, entries, cleared: Number(cleared), silent: Number(silent) }
--- a/packages/daemon/src/body.ts
+++ b/packages/daemon/src/body.ts
@@ -1,6 +1,6 @@
 /** Reads the body of a caller's request, up to the limit. */
 import type { IncomingMessage } from 'node:http'
-import { BODY_LIMIT } from './defaults.ts'
+import { MAX_BODY_BYTES } from './defaults.ts'
 
 /** Why there is no body. */
 export enum BodyFault {
@@ -15,13 +15,13 @@
  * dropped, since closing the connection on a caller that still sends would lose it the response.
  */
 export function readBody (request: IncomingMessage): Promise<Buffer | BodyFault> {
-  if (Number(request.headers['content-length'] ?? 0) > BODY_LIMIT) return Promise.resolve(BodyFault.TooLarge)
+  if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) return Promise.resolve(BodyFault.TooLarge)
   return new Promise(resolve => {
     const chunks: Buffer[] = []
     let size = 0
     request.on('data', (chunk: Buffer) => {
       size += chunk.length
-      if (size <= BODY_LIMIT) {
+      if (size <= MAX_BODY_BYTES) {
         chunks.push(chunk)
         return
       }
--- a/packages/daemon/src/callers.ts
+++ b/packages/daemon/src/callers.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: HTTP/1.1 and JSON. */
+/** The HTTP/1.1 and JSON interface for callers. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { Answer, JobKey, JobState } from '@amaranthmast/coordination/messages'
 import { AnswerKind, Cause } from '@amaranthmast/coordination/messages'
@@ -8,15 +8,15 @@
 import type { CallerResponse } from './answers.ts'
 import { answerResponse, lookUpResponse, refusal } from './answers.ts'
 import { BodyFault, readBody } from './body.ts'
-import { BODY_LIMIT, CALLER_CONNECTIONS, ID_PATTERN, KEEP_ALIVE_MILLISECONDS, REQUEST_TIMEOUT_MILLISECONDS } from './defaults.ts'
+import { MAX_BODY_BYTES, MAX_CALLER_CONNECTIONS, ID_PATTERN, KEEP_ALIVE_MILLISECONDS, REQUEST_TIMEOUT_MILLISECONDS } from './defaults.ts'
 import type { HealthCheck } from './health.ts'
 import { respondToHealth } from './health.ts'
 import { jobKey, parseJob } from './jobs.ts'
 import type { ListenError } from './listen.ts'
 import { listen } from './listen.ts'
 
-/** One waiting caller. */
-interface Waiting {
+/** A request whose caller waits for an answer. */
+interface PendingRequest {
   response: ServerResponse
   job: JobKey
 }
@@ -25,7 +25,7 @@
 
 const JOBS_PATH = '/v1/jobs'
 
-const CUT_SHORT: Answer = {
+const STOPPED_BEFORE_ANSWER: Answer = {
   kind: AnswerKind.MayHaveRun,
   cause: Cause.NotReady,
   detail: 'this entry stopped before the answer was there: look the job up, or send it again under the same job id',
@@ -37,7 +37,7 @@
   readonly #server: Server
   readonly #post: (event: EntryEvent) => void
   readonly #health: HealthCheck
-  readonly #waiting = new Map<string, Waiting>()
+  readonly #pending = new Map<string, PendingRequest>()
   #requests = 0
   #stopping = false
   #closed = false
@@ -47,7 +47,7 @@
     DELETE: (_request, response, job) => this.#cancel(response, job)
   }
 
-  /** @param post takes the events of all callers */
+  /** @param post receives the events of all callers */
   constructor (post: (event: EntryEvent) => void, health: HealthCheck) {
     this.#post = post
     this.#health = health
@@ -56,46 +56,45 @@
       requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
       noDelay: true
     }, (request, response) => this.#route(request, response))
-    this.#server.maxConnections = CALLER_CONNECTIONS
+    this.#server.maxConnections = MAX_CALLER_CONNECTIONS
   }
 
-  /** Port that it listens on. */
+  /** Starts to listen and returns the port. */
   listen (host: string, port: number): ResultAsync<number, ListenError> {
     return listen(this.#server, host, port)
   }
 
-  /** Callers that wait for an answer. */
+  /** Number of callers that wait for an answer. */
   get size (): number {
-    return this.#waiting.size
+    return this.#pending.size
   }
 
-  /** Answers a submission or a cancellation; nothing happens when the caller has gone. */
+  /** Answers a submission or a cancellation; does nothing when the caller has disconnected. */
   answer (request: string, answer: Answer): void {
     const waiting = this.#take(request)
     if (waiting !== undefined) this.#respond(waiting.response, answerResponse(waiting.job, answer))
   }
 
-  /** Answers a look-up; nothing happens when the caller has gone. */
+  /** Answers a look-up; does nothing when the caller has disconnected. */
   lookedUp (request: string, state: JobState, answer: Answer | undefined): void {
     const waiting = this.#take(request)
     if (waiting !== undefined) this.#respond(waiting.response, lookUpResponse(waiting.job, state, answer))
   }
 
-  /** From now on each response asks its caller to connect anew, which the balancer sends elsewhere. */
+  /** Closes the connection after each response from now on, so that the balancer routes the caller's next connection to another entry. */
   drain (): void {
     this.#stopping = true
     this.#server.closeIdleConnections()
   }
 
   /**
-   * Stops listening; settles when every response has been written. The decision logic answers
-   * nothing any more: a request that still arrives is broken off, and one whose answer it did not
-   * give may have run.
+   * Stops listening; settles when every response has been written. The decision logic has ended by
+   * now: requests that still arrive are disconnected, and pending ones are answered as "may have run".
    */
   async close (): Promise<void> {
     this.drain()
     this.#closed = true
-    for (const request of [...this.#waiting.keys()]) this.answer(request, CUT_SHORT)
+    for (const request of [...this.#pending.keys()]) this.answer(request, STOPPED_BEFORE_ANSWER)
     await new Promise<void>(resolve => {
       this.#server.close(() => resolve())
       this.#server.closeIdleConnections()
@@ -104,8 +103,8 @@
 
   #route (request: IncomingMessage, response: ServerResponse): void {
     const path = pathOf(request)
-    // The logic has ended and knows nothing of the job, which an earlier submission may have brought to
-    // another entry: "not run" could be false. A broken connection says nothing, and the caller comes back.
+    // The decision logic has ended, and an earlier submission may have brought the job to another entry,
+    // so answering "not run" could be false. Closing the connection claims nothing, and the caller retries.
     if (this.#closed && path.startsWith(JOBS_PATH)) {
       response.destroy()
       return
@@ -142,7 +141,7 @@
     const body = await readBody(request)
     if (body === BodyFault.Broken) return
     if (body === BodyFault.TooLarge) {
-      this.#refuse(response, 413, Cause.TooLarge, `a job has at most ${BODY_LIMIT} bytes: split it`)
+      this.#refuse(response, 413, Cause.TooLarge, `a job has at most ${MAX_BODY_BYTES} bytes: split it`)
       return
     }
     const job = parseJob(body)
@@ -150,31 +149,31 @@
       this.#respond(response, answerResponse(undefined, refusal(job.error.code, job.error.message)))
       return
     }
-    this.#post({ type: 'submitted', request: this.#wait(response, job.value.key), job: job.value })
+    this.#post({ type: 'submitted', request: this.#register(response, job.value.key), job: job.value })
   }
 
   #lookUp (response: ServerResponse, job: JobKey): void {
-    this.#post({ type: 'lookUpRequested', request: this.#wait(response, job), job })
+    this.#post({ type: 'lookUpRequested', request: this.#register(response, job), job })
   }
 
   #cancel (response: ServerResponse, job: JobKey): void {
-    this.#post({ type: 'cancelRequested', request: this.#wait(response, job), job })
+    this.#post({ type: 'cancelRequested', request: this.#register(response, job), job })
   }
 
-  /** Registers a waiting caller; when it goes away before its answer, the logic is told. */
-  #wait (response: ServerResponse, job: JobKey): string {
+  /** Registers a waiting caller and posts `callerGone` if it disconnects before its answer. */
+  #register (response: ServerResponse, job: JobKey): string {
     this.#requests += 1
     const request = String(this.#requests)
-    this.#waiting.set(request, { response, job })
+    this.#pending.set(request, { response, job })
     response.on('close', () => {
       if (this.#take(request) !== undefined) this.#post({ type: 'callerGone', request })
     })
     return request
   }
 
-  #take (request: string): Waiting | undefined {
-    const waiting = this.#waiting.get(request)
-    this.#waiting.delete(request)
+  #take (request: string): PendingRequest | undefined {
+    const waiting = this.#pending.get(request)
+    this.#pending.delete(request)
     return waiting
   }
 
@@ -203,7 +202,7 @@
   return jobKey(tenant, job)
 }
 
-/** Undefined when the part is not valid percent-encoding. */
+/** Returns undefined when the part is not valid percent-encoding. */
 function decodePart (part: string): string | undefined {
   try {
     return decodeURIComponent(part)
--- a/packages/daemon/src/dialledlinks.ts
+++ b/packages/daemon/src/dialledlinks.ts
@@ -17,7 +17,7 @@
   /** Keeps a link to each of these instances and to no other. */
   connect (destinations: readonly Destination[]): void {
     this.#links.retain(new Set(destinations.map(({ instance }) => instance)))
-    this.#dialer.want(destinations)
+    this.#dialer.setDestinations(destinations)
   }
 
   /** Sends a message; dropped when the instance has no link. */
@@ -31,13 +31,13 @@
   }
 
   /** Closes links that have been silent for longer than `silence`, in milliseconds. */
-  sweep (now: number, silence: number): void {
-    this.#links.sweep(now, silence)
+  sweep (now: number, timeout: number): void {
+    this.#links.sweep(now, timeout)
   }
 
   /** Lets what waits leave and ends the streams in order. */
   finish (): void {
-    this.#dialer.want([])
+    this.#dialer.setDestinations([])
     this.#links.finish()
   }
 
--- a/packages/daemon/src/distribution.ts
+++ b/packages/daemon/src/distribution.ts
@@ -1,11 +1,11 @@
 /** One distribution of measured values. */
 import type { Histogram } from 'hdr-histogram-js'
 import Int32HistogramModule from 'hdr-histogram-js/dist/Int32Histogram.js'
-import { HISTOGRAM_LIMIT } from './defaults.ts'
+import { MAX_HISTOGRAM_VALUE } from './defaults.ts'
 import type { Labels, Summary } from './exposition.ts'
 
 /** The histograms hold whole numbers: hundredths keep short waits and small ratios apart. */
-const PARTS = 100
+const SCALE = 100
 
 const SIGNIFICANT_DIGITS = 2
 const LOWEST_VALUE = 1
@@ -33,8 +33,8 @@
   #sum = 0
 
   record (value: number): void {
-    const bounded = Math.min(Math.max(value, 0), HISTOGRAM_LIMIT)
-    this.#histogram.recordValue(Math.round(bounded * PARTS))
+    const bounded = Math.min(Math.max(value, 0), MAX_HISTOGRAM_VALUE)
+    this.#histogram.recordValue(Math.round(bounded * SCALE))
     this.#sum += bounded
   }
 
@@ -56,12 +56,12 @@
       p50: this.#valueAt(0.5),
       p90: this.#valueAt(0.9),
       p99: this.#valueAt(0.99),
-      max: maxValue / PARTS
+      max: maxValue / SCALE
     }
   }
 
   #valueAt (quantile: number): number {
-    return this.#histogram.getValueAtPercentile(quantile * 100) / PARTS
+    return this.#histogram.getValueAtPercentile(quantile * 100) / SCALE
   }
 }
 
--- a/packages/daemon/src/entrydaemon.ts
+++ b/packages/daemon/src/entrydaemon.ts
@@ -1,4 +1,4 @@
-/** The daemon in the role of an entry: the edges around the decision logic. */
+/** The daemon in the entry role: connects the decision logic to callers, agents, peers and the store. */
 import type { EntryEffect, EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import { Entry } from '@amaranthmast/coordination/entry'
@@ -24,8 +24,8 @@
 import { Loop, runLoop } from './loop.ts'
 import { Direction, ProcessMetrics } from './metrics.ts'
 import { Peers } from './peers.ts'
-import { asksForView, tellView } from './seeds.ts'
-import { silenceOf } from './silence.ts'
+import { isViewRequest, sendView } from './seeds.ts'
+import { linkTimeout } from './silence.ts'
 import { StatusPort } from './status.ts'
 import { EntryStore } from './store.ts'
 import { plainView } from './viewcodec.ts'
@@ -44,7 +44,7 @@
   readonly #inner: InnerListener
   readonly #status: StatusPort
   readonly #entry: Entry
-  readonly #silence: number
+  readonly #linkTimeout: number
   #state = EntryState.Joining
   #statusPort = 0
 
@@ -79,7 +79,7 @@
     const { instance, log, now, random, wallClock } = environment
     const post = (event: EntryEvent) => this.#loop.post(event)
     const timings = { ...DEFAULT_TIMINGS, ...settings.timings }
-    this.#silence = silenceOf(timings)
+    this.#linkTimeout = linkTimeout(timings)
     this.#settings = settings
     this.#environment = environment
     this.#client = new KeyValueClient({ endpoints: settings.store.endpoints, timeoutMilliseconds: settings.store.timeoutMilliseconds, random, now })
@@ -87,12 +87,12 @@
     this.#agents = new Agents(instance, event => this.#received('agent', event))
     this.#peers = new Peers(environment, event => this.#received('peer', event))
     this.#inner = new InnerListener({
-      agent: (frames, context) => asksForView(context) ? this.#tellView() : this.#agents.serve(frames, context),
+      agent: (frames, context) => isViewRequest(context) ? this.#sendView() : this.#agents.serve(frames, context),
       peer: (frames, context) => this.#peers.serve(frames, context)
     })
     const health = { ready: () => this.#state === EntryState.Serving, state: () => this.#state }
     this.#callers = new Callers(post, health)
-    this.#status = new StatusPort({ ...health, metrics: () => this.#exposed(), status: () => this.#statusPage() })
+    this.#status = new StatusPort({ ...health, metrics: () => this.#metricsText(), status: () => this.#statusPage() })
     this.#entry = new Entry({
       instance,
       address: settings.peers.address,
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Starts to listen; the view is not read before that succeeded.
+   * Starts all listeners. The view is read only after this has succeeded.
    *
    * @returns port of the status listener
    */
@@ -156,14 +156,14 @@
 
   #tick (): void {
     const now = this.#environment.now()
-    this.#agents.sweep(now, this.#silence)
-    this.#peers.sweep(now, this.#silence)
+    this.#agents.sweep(now, this.#linkTimeout)
+    this.#peers.sweep(now, this.#linkTimeout)
     this.#loop.post({ type: 'tick' })
   }
 
-  #tellView (): AsyncGenerator<EntryFrame> {
+  #sendView (): AsyncGenerator<EntryFrame> {
     const { view, configurationVersion } = this.#entry.status()
-    return tellView(this.#environment.instance, view, configurationVersion)
+    return sendView(this.#environment.instance, view, configurationVersion)
   }
 
   #received (link: string, event: EntryEvent): void {
@@ -175,7 +175,7 @@
     return { callers: this.#callers.size, agents: this.#agents.size, peers: this.#peers.size, evacuated: this.#entry.status().scheduler.evacuated }
   }
 
-  #exposed (): string {
+  #metricsText (): string {
     const exposition = new Exposition()
     this.#metrics.expose(exposition, this.#state, this.#sizes())
     this.#entryMetrics.expose(exposition)
--- a/packages/daemon/src/entryservice.ts
+++ b/packages/daemon/src/entryservice.ts
@@ -1,4 +1,4 @@
-/** The process of an entry under leases: the edges around its decision logic. */
+/** Runs a lease-based entry: connects its decision logic to callers, agents, other entries and the store. */
 import type { EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 import type { AgentMessage } from '@amaranthmast/dispatch/messages'
 import type { DispatchConfiguration, Queue } from '@amaranthmast/dispatch/queues'
@@ -35,22 +35,22 @@
   store: StorePort
   callers: CallerPortFactory
   decisions: DecisionLog
-  /** Speed of the processor against other machines', in doublings. */
+  /** Processor speed relative to other machines, as a base-2 logarithm: 1 is twice as fast. */
   strength: number
   now: () => number
 }
 
-/** How long a stopping entry goes on as before: the balancer looks once a second and needs two misses, in milliseconds. */
-const BALANCER_MILLISECONDS = 2500
+/** How long a stopping entry serves as before, in milliseconds: the balancer probes once a second and removes an entry after two failed probes. */
+const BALANCER_DETECTION_MILLISECONDS = 2500
 
-/** How long open connections may still bring requests after the balancer has left, in milliseconds. */
-const IDLE_MILLISECONDS = 1000
+/** How long open connections may still deliver requests after the balancer has removed the entry, in milliseconds. */
+const IDLE_CONNECTION_MILLISECONDS = 1000
 
-/** Before the end of the grace, whoever still waits is answered, in milliseconds: answers take a few to leave. */
+/** How long before the end of the grace period all waiting callers are answered, in milliseconds: sending the answers takes some milliseconds. */
 const ANSWER_RESERVE_MILLISECONDS = 600
 
-/** Part of the grace that is kept for the end of the process itself, in milliseconds. */
-const END_RESERVE_MILLISECONDS = 300
+/** Time at the end of the grace period that is reserved for the exit of the process, in milliseconds. */
+const EXIT_RESERVE_MILLISECONDS = 300
 
 export class EntryService {
   readonly #options: EntryServiceOptions
@@ -67,17 +67,17 @@
   #configuration: DispatchConfiguration | undefined
   #queues = new QueueTable([])
   #stopOrderedAt: number | undefined
-  #endingTold = false
+  #endingPosted = false
 
   readonly #handlers: EffectHandlers<EntryEffect> = {
     answer: ({ request, answer }) => {
-      // The caller submits the job again after this answer: the stops leave before it.
+      // The caller submits the job again after this answer, so the stop messages are sent before it.
       if (answer.kind === AnswerKind.TimedOut) this.#agents.flush()
       this.#callers.answer(request, answer)
     },
     send: ({ agent, message }) => this.#agents.send(agent, message),
     tell: ({ peer, message }) => this.#peers.send(peer, message),
-    unlink: ({ agent }) => this.#agents.renew(agent),
+    unlink: ({ agent }) => this.#agents.reconnect(agent),
     jobEnded: effect => this.#metrics.jobEnded(effect),
     note: ({ what, fields }) => this.#options.decisions.decision(what, fields)
   }
@@ -87,56 +87,56 @@
     this.#options = options
     this.#entry = new Entry({ name: settings.id, strength: options.strength, dataCentre: settings.dataCentre, timings: timingsFor(settings.bounds), grace: settings.bounds.grace, policy: policyOf(settings.scheduling), weights: settings.scheduling.weights })
     const own: Greeting = { role: PeerRole.Entry, name: settings.id, incarnation, address: settings.linkAddress }
-    // A ping is echoed only after the ends of all callers that had gone when it was sent: they are read by the next turn.
+    // Messages of agents are deferred by one turn: every caller that had disconnected when a ping was sent has been read by then, so its tasks are stopped before the echo.
     this.#agents = new Dialer(own, {
       linked: (peer, address) => {
         this.#gossip.agentLinked(address)
-        this.#loop.postLater({ type: 'agentLinked', agent: peer.name, incarnation: peer.incarnation })
+        this.#loop.postDeferred({ type: 'agentLinked', agent: peer.name, incarnation: peer.incarnation })
       },
-      received: (peer, message) => this.#loop.postLater({ type: 'agentMessage', agent: peer.name, message: message as AgentMessage }),
-      unlinked: peer => this.#loop.postLater({ type: 'agentUnlinked', agent: peer.name })
+      received: (peer, message) => this.#loop.postDeferred({ type: 'agentMessage', agent: peer.name, message: message as AgentMessage }),
+      unlinked: peer => this.#loop.postDeferred({ type: 'agentUnlinked', agent: peer.name })
     }, now)
     this.#peers = new Dialer(own, {
       linked: peer => {
         this.#gossip.linked(peer.name)
         this.#loop.post({ type: 'peerLinked', peer: peer.name })
       },
-      received: (peer, message) => this.#told(peer, message),
+      received: (peer, message) => this.#receivedFromPeer(peer, message),
       unlinked: peer => {
         this.#gossip.unlinked(peer.name)
         this.#loop.post({ type: 'peerUnlinked', peer: peer.name })
       }
     }, now)
     this.#listener = new Listener(own, {
-      linked: (link, peer) => this.#visited(link, peer),
-      received: (peer, message) => this.#told(peer, message),
+      linked: (link, peer) => this.#inboundLinked(link, peer),
+      received: (peer, message) => this.#receivedFromPeer(peer, message),
       unlinked: peer => { if (peer.role === PeerRole.Entry) this.#gossip.unlinked(peer.name) }
     })
     this.#gossip = new Gossip({
       store,
       bound: settings.bounds.configuration,
-      configured: configuration => this.#configured(configuration),
+      configured: configuration => this.#applyConfiguration(configuration),
       agentFound: address => this.#agents.add(address),
       note: (what, fields) => decisions.decision(what, fields),
       send: (peer, message) => this.#sendTo(peer, message),
       now
     })
     this.#callers = options.callers({
-      find: (host, path) => this.#find(host, path),
+      find: (host, path) => this.#findQueue(host, path),
       limits: () => this.#configuration?.limits,
-      // A caller that has given up before its request is read has ended its connection behind it.
-      submitted: (request, job) => this.#loop.postLater({ type: 'submitted', request, job }),
-      cancelAsked: (request, id) => this.#loop.postLater({ type: 'cancelAsked', request, id }),
-      stateAsked: (request, id) => this.#loop.postLater({ type: 'stateAsked', request, id }),
+      // Deferred by one turn: if the caller has already disconnected, the end of its connection is read right after the request.
+      submitted: (request, job) => this.#loop.postDeferred({ type: 'submitted', request, job }),
+      cancelAsked: (request, id) => this.#loop.postDeferred({ type: 'cancelAsked', request, id }),
+      stateAsked: (request, id) => this.#loop.postDeferred({ type: 'stateAsked', request, id }),
       waiting: () => 0,
-      gone: request => this.#callerGone(request),
+      gone: request => this.#callerDisconnected(request),
       ready: () => this.#entry.ready
     }, decisions.decision)
     this.#lag = new LoopLag({ threshold: lateTurnThreshold(settings.bounds.stop), now, note: decisions.decision })
-    this.#metricsListener = new MetricsListener(() => this.#exposed(), decisions.log)
+    this.#metricsListener = new MetricsListener(() => this.#metricsText(), decisions.log)
   }
 
-  /** Runs until it was told to stop; rejects with a fault of the program. */
+  /** Runs until it has been stopped; rejects when the program has an internal error. */
   async run (): Promise<void> {
     const { settings, store, now } = this.#options
     await this.#listener.listen(settings.host, settings.linkPort)
@@ -183,29 +183,29 @@
     this.#gossip.tick()
     if (this.#stopOrderedAt === undefined) return
     const stopping = this.#options.now() - this.#stopOrderedAt
-    if (stopping < BALANCER_MILLISECONDS) return
+    if (stopping < BALANCER_DETECTION_MILLISECONDS) return
     this.#callers.drain()
     const { grace } = this.#options.settings.bounds
-    const answered = this.#endingTold
-    if (stopping >= grace - ANSWER_RESERVE_MILLISECONDS) this.#answerAll()
-    const idle = this.#callers.open() === 0 && stopping >= BALANCER_MILLISECONDS + IDLE_MILLISECONDS
-    if (idle || (answered && stopping >= grace - END_RESERVE_MILLISECONDS)) this.#loop.end()
+    const answered = this.#endingPosted
+    if (stopping >= grace - ANSWER_RESERVE_MILLISECONDS) this.#answerWaitingCallers()
+    const idle = this.#callers.open() === 0 && stopping >= BALANCER_DETECTION_MILLISECONDS + IDLE_CONNECTION_MILLISECONDS
+    if (idle || (answered && stopping >= grace - EXIT_RESERVE_MILLISECONDS)) this.#loop.end()
   }
 
-  /** Stops for its tasks leave before any echo that keeps tasks alive; a submission that is not handled yet never is. */
-  #callerGone (request: number): void {
+  /** Drops the caller's submission if it is still queued. Otherwise the disconnect is handled first in its turn, so that its tasks are stopped before any echo that would keep them alive. */
+  #callerDisconnected (request: number): void {
     const [dropped] = this.#loop.withdraw(event => event.type === 'submitted' && event.request === request)
-    if (dropped?.type === 'submitted') this.#options.decisions.decision('submission dropped, its caller has gone', { job: dropped.job.id })
-    else this.#loop.postFirst({ type: 'requestGone', request })
+    if (dropped?.type === 'submitted') this.#options.decisions.decision('submission dropped, caller disconnected', { job: dropped.job.id })
+    else this.#loop.postUrgent({ type: 'requestGone', request })
   }
 
-  /** The answers and the stops leave before the next tick, at which the process may end. */
-  #answerAll (): void {
-    this.#endingTold = true
+  /** Answers all waiting callers and stops their tasks. Both are sent before the next tick, at which the process may exit. */
+  #answerWaitingCallers (): void {
+    this.#endingPosted = true
     this.#loop.post({ type: 'ending' })
   }
 
-  #find (host: string, path: string): Queue | QueueLookup {
+  #findQueue (host: string, path: string): Queue | QueueLookup {
     if (this.#configuration === undefined) return QueueLookup.Unconfigured
     const queue = this.#queues.find(host, path)
     if (queue !== undefined) return queue
@@ -215,14 +215,14 @@
     return QueueLookup.Uncertain
   }
 
-  #configured (configuration: DispatchConfiguration): void {
+  #applyConfiguration (configuration: DispatchConfiguration): void {
     this.#configuration = configuration
     this.#queues = new QueueTable(configuration.queues)
     this.#loop.post({ type: 'configured', configuration })
   }
 
-  /** An agent that nobody has dialled yet, or another entry, has come here. */
-  #visited (link: Link, peer: Greeting): void {
+  /** Handles a link that was opened by the other end: agents are dialled back, other entries are kept as peers. */
+  #inboundLinked (link: Link, peer: Greeting): void {
     if (peer.role === PeerRole.Agent) {
       this.#agents.add(peer.address)
       link.close('told')
@@ -232,19 +232,19 @@
     this.#gossip.linked(peer.name)
   }
 
-  /** Over the link dialled here, or the one dialled there when it is the only one. */
+  /** Sends over the link that this entry dialled, or over the peer's link when there is no other. */
   #sendTo (peer: string, message: GossipMessage): void {
     if (this.#peers.linked.includes(peer)) this.#peers.send(peer, message)
     else this.#listener.link(peer)?.send(message)
   }
 
-  /** A message of another entry: on what both know, or on room at the targets. */
-  #told (peer: Greeting, message: unknown): void {
+  /** Passes a message of another entry to the gossip, or to the decision logic when it is about capacity at targets. */
+  #receivedFromPeer (peer: Greeting, message: unknown): void {
     if (isGossip(message)) this.#gossip.received(peer.name, message)
     else this.#loop.post({ type: 'peerMessage', peer: peer.name, message: message as PeerMessage })
   }
 
-  #exposed (): string {
+  #metricsText (): string {
     const exposition = new Exposition()
     const { suspects, convictions, crashes, ...sizes } = this.#entry.status()
     exposition.gauge('amaranthmast_crashes', 'Tasks suspected of crashing targets, tasks given up for it, and targets that crashed lately', Object.entries({ suspects, convictions, crashes }).map(([figure, value]) => ({ labels: { figure }, value })))
--- a/packages/daemon/src/gossip.ts
+++ b/packages/daemon/src/gossip.ts
@@ -1,6 +1,6 @@
 /**
- * What entries tell each other beside their jobs: where agents are found, and the configuration. It carries the fleet while the
- * store turns some machines away.
+ * Exchange of agent addresses and of the configuration between entries. It keeps the fleet working while the store refuses
+ * some of the machines.
  */
 import type { ExchangeEffect, ExchangeEvent, ExchangeStatus } from '@amaranthmast/configuration/exchange'
 import type { ConfigurationMessage } from '@amaranthmast/configuration/messages'
@@ -11,7 +11,7 @@
 import { ConfigurationExchange } from '@amaranthmast/configuration/exchange'
 import { isConfigurationMessage } from '@amaranthmast/configuration/messages'
 
-/** Addresses of agents that the sender has links to. */
+/** Addresses of agents to which the sender is linked. */
 interface AgentsMessage {
   type: 'agents'
   addresses: string[]
@@ -30,7 +30,7 @@
 
 export interface GossipOptions {
   store: Pick<StorePort, 'readConfiguration'>
-  /** A configuration is in force within this time after it was accepted, in milliseconds. */
+  /** Time within which an accepted configuration must be in force, in milliseconds. */
   bound: number
   configured: (configuration: DispatchConfiguration) => void
   agentFound: (address: string) => void
@@ -42,8 +42,8 @@
 export class Gossip {
   readonly #options: GossipOptions
   readonly #agents = new Set<string>()
-  /** Links to each of the other entries, in either direction. */
-  readonly #links = new Map<string, number>()
+  /** Number of links to each other entry, in either direction. */
+  readonly #linkCounts = new Map<string, number>()
   readonly #exchange: ConfigurationExchange<DispatchConfiguration>
 
   readonly #handlers: EffectHandlers<ExchangeEffect<DispatchConfiguration>> = {
@@ -61,28 +61,28 @@
     return this.#exchange.status
   }
 
-  /** Milliseconds since the last confirmation that the configuration in force is the newest began; undefined before the first. */
+  /** Milliseconds since the start of the last check that confirmed the configuration in force as the newest; undefined before the first. */
   get age (): number | undefined {
     const { confirmedAt } = this.#exchange
     return confirmedAt === undefined ? undefined : this.#options.now() - confirmedAt
   }
 
-  /** Whether a queue that the configuration lacks can be said not to exist. */
+  /** Whether the configuration is recent enough to conclude that a queue which it lacks does not exist. */
   get isCurrent (): boolean {
     return this.#exchange.isCurrent(this.#options.bound, this.#options.now())
   }
 
-  /** Takes in a configuration that the store has. */
+  /** Handles a configuration read from the store. */
   offer (configuration: DispatchConfiguration, document: string): void {
     this.#handle({ type: 'stored', configuration, document })
   }
 
-  /** The store has confirmed that nothing newer was there at a time of this process's clock. */
+  /** Records that the store had no newer configuration at a time of this process's clock. */
   confirmed (at: number): void {
     this.#handle({ type: 'confirmed', at })
   }
 
-  /** The store may have changed unheard. */
+  /** Records that changes in the store may have been missed. */
   doubted (): void {
     this.#handle({ type: 'doubted' })
   }
@@ -91,28 +91,28 @@
     this.#handle({ type: 'tick' })
   }
 
-  /** A link to another entry is open, dialled here or there. */
+  /** Handles a new link to another entry, dialled by either end. */
   linked (peer: string): void {
-    const links = this.#links.get(peer) ?? 0
-    this.#links.set(peer, links + 1)
+    const links = this.#linkCounts.get(peer) ?? 0
+    this.#linkCounts.set(peer, links + 1)
     if (this.#agents.size > 0) this.#options.send(peer, { type: 'agents', addresses: [...this.#agents] })
     if (links === 0) this.#handle({ type: 'peerLinked', peer })
   }
 
   unlinked (peer: string): void {
-    const links = this.#links.get(peer) ?? 0
+    const links = this.#linkCounts.get(peer) ?? 0
     if (links > 1) {
-      this.#links.set(peer, links - 1)
+      this.#linkCounts.set(peer, links - 1)
       return
     }
-    this.#links.delete(peer)
+    this.#linkCounts.delete(peer)
     this.#handle({ type: 'peerUnlinked', peer })
   }
 
   agentLinked (address: string): void {
     if (this.#agents.has(address)) return
     this.#agents.add(address)
-    for (const peer of this.#links.keys()) this.#options.send(peer, { type: 'agents', addresses: [address] })
+    for (const peer of this.#linkCounts.keys()) this.#options.send(peer, { type: 'agents', addresses: [address] })
   }
 
   received (peer: string, message: GossipMessage): void {
@@ -126,7 +126,7 @@
   }
 }
 
-/** Addresses of one role among records. */
+/** Returns the addresses of the records of one role. */
 export function addressesOf (records: readonly InstanceRecord[], role: PeerRole): string[] {
   return records.filter(record => record.role === role).map(({ address }) => address)
 }
--- a/packages/daemon/src/histograms.ts
+++ b/packages/daemon/src/histograms.ts
@@ -1,7 +1,7 @@
 /** Distributions for each tenant and service. */
 import type { DistributionFigures } from './distribution.ts'
 import type { Summary } from './exposition.ts'
-import { HISTOGRAM_CLASSES } from './defaults.ts'
+import { MAX_HISTOGRAM_CLASSES } from './defaults.ts'
 import { Distribution } from './distribution.ts'
 
 /** What is measured of a class of work. */
@@ -20,7 +20,7 @@
 export const QUANTILES = [0.5, 0.9, 0.99]
 
 /** Name of the class that takes what exceeds the bound on classes. */
-const OTHERS = 'others'
+const OVERFLOW_CLASS = 'others'
 
 interface WorkClass {
   tenant: string
@@ -68,9 +68,9 @@
     const key = `${tenant}/${service}`
     const known = this.#classes.get(key)
     if (known !== undefined) return known
-    if (this.#classes.size >= HISTOGRAM_CLASSES && tenant !== OTHERS) return this.#class(OTHERS, OTHERS)
-    const made: WorkClass = { tenant, service, distributions: {} }
-    this.#classes.set(key, made)
-    return made
+    if (this.#classes.size >= MAX_HISTOGRAM_CLASSES && tenant !== OVERFLOW_CLASS) return this.#class(OVERFLOW_CLASS, OVERFLOW_CLASS)
+    const created: WorkClass = { tenant, service, distributions: {} }
+    this.#classes.set(key, created)
+    return created
   }
 }
--- a/packages/daemon/src/innerclient.ts
+++ b/packages/daemon/src/innerclient.ts
@@ -65,11 +65,11 @@
   dial: Pick<LinkDial<In, Out, InFrame, OutFrame>, 'own' | 'open'>, destination: Destination, signal: AbortSignal,
   frames: AsyncIterable<OutFrame>, headers: Record<string, string>, received: (frame: InFrame) => void
 ): Promise<StreamEnd> {
-  const slow = new AbortController()
-  const timer = setTimeout(() => slow.abort(), CONNECT_TIMEOUT_MILLISECONDS)
+  const connectTimeout = new AbortController()
+  const timer = setTimeout(() => connectTimeout.abort(), CONNECT_TIMEOUT_MILLISECONDS)
   const sessions = sessionManager(destination.address)
   const options = {
-    signal: AbortSignal.any([signal, slow.signal]),
+    signal: AbortSignal.any([signal, connectTimeout.signal]),
     headers: { ...headers, [INSTANCE_HEADER]: dial.own, [EXPECTED_HEADER]: destination.instance }
   }
   let wasUp = false
--- a/packages/daemon/src/innerlistener.ts
+++ b/packages/daemon/src/innerlistener.ts
@@ -38,7 +38,7 @@
       grpcWeb: false
     })
     this.#server = createServer({ maxSessionMemory: SESSION_MEMORY_MEGABYTES }, handler)
-    this.#server.on('session', session => this.#keep(session))
+    this.#server.on('session', session => this.#track(session))
   }
 
   /** Port that it listens on. */
@@ -52,7 +52,7 @@
     for (const session of this.#sessions) session.destroy()
   }
 
-  #keep (session: ServerHttp2Session): void {
+  #track (session: ServerHttp2Session): void {
     this.#sessions.add(session)
     session.on('close', () => this.#sessions.delete(session))
     session.on('error', () => session.destroy())
--- a/packages/daemon/src/jobs.ts
+++ b/packages/daemon/src/jobs.ts
@@ -5,8 +5,8 @@
 import { err, ok } from 'neverthrow'
 import { createHash } from 'node:crypto'
 import {
-  DEADLINE_DEFAULT_MILLISECONDS, DEADLINE_LIMIT_MILLISECONDS, DIGEST_LENGTH, ID_PATTERN, NEEDS_LIMIT,
-  RUN_LIMIT_MILLISECONDS, TASK_LIMIT
+  DEFAULT_DEADLINE_MILLISECONDS, MAX_DEADLINE_MILLISECONDS, DIGEST_LENGTH, ID_PATTERN, MAX_NEED,
+  MAX_RUN_MILLISECONDS, MAX_TASKS
 } from './defaults.ts'
 
 /** A request that cannot be taken as a job: nothing of it has run. */
@@ -54,7 +54,7 @@
     service,
     digest: digestOf(tenant, service, repeatable, tasks),
     repeatable,
-    remainingMilliseconds: readNumber(fields, 'deadlineMilliseconds', '', 1, DEADLINE_LIMIT_MILLISECONDS, DEADLINE_DEFAULT_MILLISECONDS),
+    remainingMilliseconds: readNumber(fields, 'deadlineMilliseconds', '', 1, MAX_DEADLINE_MILLISECONDS, DEFAULT_DEADLINE_MILLISECONDS),
     lodgedAt: readNumber(fields, 'lodgedAt', '', 0, Number.MAX_SAFE_INTEGER, 0),
     tasks
   }
@@ -71,8 +71,8 @@
 
 function readTasks (value: unknown): TaskRequest[] {
   if (!Array.isArray(value) || value.length === 0) throw malformed('"tasks" must be a list of at least one task')
-  if (value.length > TASK_LIMIT) {
-    throw new JobError(Cause.TooLarge, `a job has at most ${TASK_LIMIT} tasks, this one has ${value.length}: split it`)
+  if (value.length > MAX_TASKS) {
+    throw new JobError(Cause.TooLarge, `a job has at most ${MAX_TASKS} tasks, this one has ${value.length}: split it`)
   }
   return value.map((task, index) => readTask(task, `tasks[${index}]`))
 }
@@ -83,7 +83,7 @@
   if (!('payload' in fields)) throw malformed(`"${path}.payload" is missing: give any JSON value`)
   return {
     payload: Buffer.from(JSON.stringify(fields.payload)),
-    runMilliseconds: readNumber(fields, 'runMilliseconds', `${path}.`, 0, RUN_LIMIT_MILLISECONDS, 0),
+    runMilliseconds: readNumber(fields, 'runMilliseconds', `${path}.`, 0, MAX_RUN_MILLISECONDS, 0),
     needs: readNeeds(fields.needs, `${path}.needs`)
   }
 }
@@ -117,7 +117,7 @@
 }
 
 function readWhole (fields: Fields, name: string, path: string): number {
-  const value = readNumber(fields, name, path, 0, NEEDS_LIMIT, 0)
+  const value = readNumber(fields, name, path, 0, MAX_NEED, 0)
   if (Number.isInteger(value)) return value
   throw malformed(`"${path}${name}" must be a whole number`)
 }
--- a/packages/daemon/src/linebudget.ts
+++ b/packages/daemon/src/linebudget.ts
@@ -4,28 +4,28 @@
 
 export class LineBudget {
   readonly #perSecond: number
-  readonly #saved: number
-  #allowance: number
+  readonly #burst: number
+  #tokens: number
   #refilledAt: number
 
   /**
    * @param perSecond lines in a second
-   * @param saved lines that may be written at once after a quiet time
+   * @param burst lines that may be written at once after a quiet time
    * @param now time in milliseconds
    */
-  constructor (perSecond: number, saved: number, now: number) {
+  constructor (perSecond: number, burst: number, now: number) {
     this.#perSecond = perSecond
-    this.#saved = saved
-    this.#allowance = saved
+    this.#burst = burst
+    this.#tokens = burst
     this.#refilledAt = now
   }
 
   /** Takes a line from the budget; false when nothing is left of it. */
   take (now: number): boolean {
-    this.#allowance = Math.min(this.#saved, this.#allowance + (now - this.#refilledAt) * this.#perSecond / MILLISECONDS_PER_SECOND)
+    this.#tokens = Math.min(this.#burst, this.#tokens + (now - this.#refilledAt) * this.#perSecond / MILLISECONDS_PER_SECOND)
     this.#refilledAt = now
-    if (this.#allowance < 1) return false
-    this.#allowance -= 1
+    if (this.#tokens < 1) return false
+    this.#tokens -= 1
     return true
   }
 }
--- a/packages/daemon/src/lineoutput.ts
+++ b/packages/daemon/src/lineoutput.ts
@@ -8,7 +8,7 @@
 
 export class LineOutput {
   readonly #out: Destination
-  #waiting = 0
+  #pendingCharacters = 0
 
   /**
    * @param descriptor of the file that is written to
@@ -18,19 +18,19 @@
   constructor (descriptor: number, limit: number, dropped: () => void) {
     this.#out = destination({ dest: descriptor, sync: false, minLength: WRITE_BYTES, maxLength: limit })
     this.#out.on('drop', (line: string) => {
-      this.#waiting -= line.length
+      this.#pendingCharacters -= line.length
       dropped()
     })
-    this.#out.on('write', (bytes: number) => { this.#waiting = Math.max(0, this.#waiting - bytes) })
+    this.#out.on('write', (bytes: number) => { this.#pendingCharacters = Math.max(0, this.#pendingCharacters - bytes) })
   }
 
   /** Characters that wait to be written. */
   get waiting (): number {
-    return this.#waiting
+    return this.#pendingCharacters
   }
 
   write (line: string): void {
-    this.#waiting += line.length
+    this.#pendingCharacters += line.length
     this.#out.write(line)
   }
 
--- a/packages/daemon/src/links.ts
+++ b/packages/daemon/src/links.ts
@@ -1,13 +1,13 @@
 /** The live links to other processes, at most one for each instance. */
 import type { Instance } from '@amaranthmast/coordination/messages'
-import { OWN_PAUSE_MILLISECONDS, SWEEP_MILLISECONDS } from './defaults.ts'
+import { PROCESS_PAUSE_MILLISECONDS, MIN_SWEEP_INTERVAL_MILLISECONDS } from './defaults.ts'
 import { Outbox } from './outbox.ts'
 
-/** What the owner of the links is told. */
+/** Callbacks to the owner of the links. */
 export interface LinkEvents<In> {
   connected: (peer: Instance) => void
   message: (peer: Instance, message: In) => void
-  /** Exactly once for each link that was connected; none of its messages follows. */
+  /** Called exactly once for each connected link; no message of that link follows. */
   disconnected: (peer: Instance) => void
 }
 
@@ -18,56 +18,56 @@
   /** Settles when the link is closed. */
   readonly closed: Promise<void>
   readonly #events: LinkEvents<In>
-  readonly #breakOff: () => void
-  readonly #forget: () => void
+  readonly #resetStream: () => void
+  readonly #remove: () => void
   #settle: () => void = () => {}
   #open = true
-  /** Whether anything arrived since the last look. */
-  #heard = true
-  #lastHeard = 0
+  /** Whether anything has been received since the last check. */
+  #receivedSinceCheck = true
+  #lastReceivedAt = 0
 
   /** @internal */
-  constructor (peer: Instance, outbox: Outbox<Out, Frame>, events: LinkEvents<In>, breakOff: () => void, forget: (link: Link<In, Out, Frame>) => void) {
+  constructor (peer: Instance, outbox: Outbox<Out, Frame>, events: LinkEvents<In>, resetStream: () => void, remove: (link: Link<In, Out, Frame>) => void) {
     this.peer = peer
     this.outbox = outbox
     this.#events = events
-    this.#breakOff = breakOff
-    this.#forget = () => forget(this)
+    this.#resetStream = resetStream
+    this.#remove = () => remove(this)
     this.closed = new Promise(resolve => { this.#settle = resolve })
   }
 
-  /** Hands received messages on, unless the link has been reported as disconnected. */
+  /** Passes received messages on, unless the link has been reported as disconnected. */
   receive (messages: readonly In[]): void {
     if (!this.#open) return
-    this.#heard = true
+    this.#receivedSinceCheck = true
     for (const message of messages) this.#events.message(this.peer, message)
   }
 
-  /** Counts as heard: silence begins anew. */
-  touch (): void {
-    this.#heard = true
+  /** Restarts the timeout as if something had been received. */
+  markActive (): void {
+    this.#receivedSinceCheck = true
   }
 
-  /** Instant since when nothing has arrived, as far as the looks tell; `now` when something has. */
-  look (now: number): number {
-    if (this.#heard) this.#lastHeard = now
-    this.#heard = false
-    return this.#lastHeard
+  /** Returns the time of the last receipt, to the precision of the checks: `now` when something has been received since the last check. */
+  checkActivity (now: number): number {
+    if (this.#receivedSinceCheck) this.#lastReceivedAt = now
+    this.#receivedSinceCheck = false
+    return this.#lastReceivedAt
   }
 
-  /** Closes the link and breaks its stream off. Further calls do nothing. */
+  /** Closes the link and resets its stream. Further calls do nothing. */
   close (): void {
     if (!this.#open) return
     this.#open = false
     this.outbox.end()
-    this.#forget()
+    this.#remove()
     this.#events.disconnected(this.peer)
     this.#settle()
-    this.#breakOff()
+    this.#resetStream()
   }
 }
 
-/** The links of one kind. */
+/** All links of one message protocol. */
 export class Links<In, Out, Frame> {
   readonly #links = new Map<Instance, Link<In, Out, Frame>>()
   readonly #events: LinkEvents<In>
@@ -79,29 +79,29 @@
     this.#toFrame = toFrame
   }
 
-  /** Outbox for a link that is still being dialled. */
+  /** Creates the outbox of a link that is still being established. */
   newOutbox (): Outbox<Out, Frame> {
     return new Outbox(this.#toFrame)
   }
 
   /**
-   * Registers a stream that is up. A peer whose connection broke unnoticed dials again while its
-   * old stream still stands here; the old one is closed first, so that the two never mix.
+   * Registers an established stream. A peer whose connection broke may dial again before the loss
+   * is detected here; its old stream is closed first, so that messages of the two never mix.
    *
-   * @param breakOff resets the stream
+   * @param resetStream resets the stream
    */
-  open (peer: Instance, outbox: Outbox<Out, Frame>, breakOff: () => void): Link<In, Out, Frame> {
+  open (peer: Instance, outbox: Outbox<Out, Frame>, resetStream: () => void): Link<In, Out, Frame> {
     this.#links.get(peer)?.close()
-    const link = new Link(peer, outbox, this.#events, breakOff, closed => this.#forget(closed))
+    const link = new Link(peer, outbox, this.#events, resetStream, closed => this.#remove(closed))
     this.#links.set(peer, link)
     this.#events.connected(peer)
     return link
   }
 
   /**
-   * Sends a message; without a link it is dropped, as a broken link would drop it.
+   * Sends a message; it is dropped when there is no link, as it would be on a broken one.
    *
-   * @param urgent false for one that may wait for the next message or `flush`
+   * @param urgent false for a message that may be delayed until the next message or `flush`
    */
   send (peer: Instance, message: Out, urgent = true): void {
     const link = this.#links.get(peer)
@@ -109,7 +109,7 @@
     link.close()
   }
 
-  /** Sends what is not urgent and still waits. */
+  /** Sends the delayed messages that are not urgent. */
   flush (): void {
     for (const link of this.#links.values()) link.outbox.flush()
   }
@@ -131,29 +131,29 @@
   }
 
   /**
-   * Closes links on which nothing has arrived for a while. A network that swallows packets leaves
-   * both ends silent without an error, and the operating system notices only after many minutes;
-   * every link carries heartbeats, so that silence means loss. After a pause of this process
-   * itself nothing is concluded, as what arrived meanwhile has not been read yet.
+   * Closes links on which nothing has been received for a while. When a network drops packets,
+   * neither end gets an error, and the operating system reports the loss only after many minutes.
+   * Every link carries heartbeats, so a link without traffic is lost. After a pause of this process
+   * itself no link is closed, because data that arrived meanwhile has not been read yet.
    *
-   * @param silence longest silence in milliseconds
+   * @param timeout maximum time without receipt, in milliseconds
    */
-  sweep (now: number, silence: number): void {
-    if (now - this.#lastSweep < SWEEP_MILLISECONDS) return
-    const paused = now - this.#lastSweep > OWN_PAUSE_MILLISECONDS
+  sweep (now: number, timeout: number): void {
+    if (now - this.#lastSweep < MIN_SWEEP_INTERVAL_MILLISECONDS) return
+    const paused = now - this.#lastSweep > PROCESS_PAUSE_MILLISECONDS
     this.#lastSweep = now
     for (const link of [...this.#links.values()]) {
-      if (paused) link.touch()
-      if (now - link.look(now) > silence) link.close()
+      if (paused) link.markActive()
+      if (now - link.checkActivity(now) > timeout) link.close()
     }
   }
 
-  /** Lets what waits leave and ends the streams in order. */
+  /** Sends the pending messages and ends the streams in order. */
   finish (): void {
     for (const link of this.#links.values()) link.outbox.end()
   }
 
-  #forget (link: Link<In, Out, Frame>): void {
+  #remove (link: Link<In, Out, Frame>): void {
     if (this.#links.get(link.peer) === link) this.#links.delete(link.peer)
   }
 }
--- a/packages/daemon/src/loop.ts
+++ b/packages/daemon/src/loop.ts
@@ -1,70 +1,70 @@
 /**
- * The daemon's one loop: events from all edges, gathered per turn of Node's event loop, as a
- * stream that is scanned through the decision logic.
+ * The daemon's event queue. Events of all adapters are batched per turn of Node's event loop and
+ * emitted as a stream, which `runLoop` feeds through the decision logic.
  */
 import type { Disposable, Scheduler, Sink } from 'most'
 import { Stream } from 'most'
 
-/** Gathers events and hands them out all of one turn together, in order but for those that go first. */
+/** Batches events and emits those of one turn together: urgent ones first, then the others in order. */
 export class Loop<Event> {
-  /** Events that go before the others of their turn. */
-  #first: Event[] = []
-  #waiting: Event[] = []
-  /** Events that wait for one more turn. */
-  #later: Event[] = []
+  /** Events that are handled before the others of their turn. */
+  #urgent: Event[] = []
+  #pending: Event[] = []
+  /** Events that are handled one turn later. */
+  #deferred: Event[] = []
   #scheduled = false
   #sink: Sink<Event[]> | undefined
   #scheduler: Scheduler | undefined
 
-  /** Adds an event; it is handled in a later phase of this turn, never inside this call. */
+  /** Adds an event. It is handled in a later phase of this turn, never synchronously. */
   post (event: Event): void {
-    this.#waiting.push(event)
+    this.#pending.push(event)
     this.#schedule()
   }
 
-  /** Adds an event that is handled before all others of its turn, whichever was read first. */
-  postFirst (event: Event): void {
-    this.#first.push(event)
+  /** Adds an event that is handled before all others of its turn, regardless of the order in which they were read. */
+  postUrgent (event: Event): void {
+    this.#urgent.push(event)
     this.#schedule()
   }
 
   /**
-   * Adds an event that is handled once everything has been read that had arrived by now: in the turn after the present one.
-   * Node reads each connection at most once in a turn, and reads one's end only after what came before it.
+   * Adds an event that is handled in the turn after the current one, once everything that has arrived by now has been read.
+   * Node reads each connection at most once per turn, and reads the end of a connection only after the data before it.
    */
-  postLater (event: Event): void {
-    this.#later.push(event)
+  postDeferred (event: Event): void {
+    this.#deferred.push(event)
     this.#schedule()
   }
 
-  /** Takes events back that are not handled yet; gives them. */
+  /** Removes matching events that have not been handled yet, and returns them. */
   withdraw (matches: (event: Event) => boolean): Event[] {
-    const withdrawn = [...this.#waiting, ...this.#later].filter(matches)
+    const withdrawn = [...this.#pending, ...this.#deferred].filter(matches)
     if (withdrawn.length === 0) return withdrawn
-    this.#waiting = this.#waiting.filter(event => !withdrawn.includes(event))
-    this.#later = this.#later.filter(event => !withdrawn.includes(event))
+    this.#pending = this.#pending.filter(event => !withdrawn.includes(event))
+    this.#deferred = this.#deferred.filter(event => !withdrawn.includes(event))
     return withdrawn
   }
 
-  /** The stream of turns. One observer at a time; it starts with what was posted before. */
+  /** Stream of the events of each turn. Supports one observer at a time, which also receives events posted before it subscribed. */
   turns (): Stream<Event[]> {
     return new Stream({ run: (sink, scheduler) => this.#observe(sink, scheduler) })
   }
 
-  /** Ends the stream: what was not handled by now never is. */
+  /** Ends the stream and discards all events that have not been handled. */
   end (): void {
     const sink = this.#sink
     this.#sink = undefined
-    this.#first = []
-    this.#waiting = []
-    this.#later = []
+    this.#urgent = []
+    this.#pending = []
+    this.#deferred = []
     sink?.end(this.#time())
   }
 
   #observe (sink: Sink<Event[]>, scheduler: Scheduler): Disposable<Event[]> {
     this.#sink = sink
     this.#scheduler = scheduler
-    if (this.#first.length + this.#waiting.length + this.#later.length > 0) this.#schedule()
+    if (this.#urgent.length + this.#pending.length + this.#deferred.length > 0) this.#schedule()
     return { dispose: () => { this.#sink = undefined } }
   }
 
@@ -78,15 +78,15 @@
     this.#scheduled = false
     const sink = this.#sink
     if (sink === undefined) return
-    const events = this.#first.length === 0 ? this.#waiting : [...this.#first, ...this.#waiting]
-    this.#first = []
-    this.#waiting = this.#later
-    this.#later = []
-    if (events.length > 0) this.#handOut(sink, events)
-    if (this.#waiting.length > 0) this.#schedule()
+    const events = this.#urgent.length === 0 ? this.#pending : [...this.#urgent, ...this.#pending]
+    this.#urgent = []
+    this.#pending = this.#deferred
+    this.#deferred = []
+    if (events.length > 0) this.#emit(sink, events)
+    if (this.#pending.length > 0) this.#schedule()
   }
 
-  #handOut (sink: Sink<Event[]>, events: Event[]): void {
+  #emit (sink: Sink<Event[]>, events: Event[]): void {
     try {
       sink.event(this.#time(), events)
     } catch (error) {
@@ -99,24 +99,24 @@
   }
 }
 
-/** The decision logic as the loop sees it. */
-export interface Core<Event, Effect> {
+/** Decision logic that the loop can run: returns the effects of each event. */
+export interface DecisionLogic<Event, Effect> {
   handle: (event: Event, now: number) => Effect[]
 }
 
-/** One handler for each kind of effect. */
+/** One handler for each type of effect. */
 export type EffectHandlers<Effect extends { type: string }> = {
   [Type in Effect['type']]: (effect: Extract<Effect, { type: Type }>) => void
 }
 
 /**
- * Scans the events of a loop through the decision logic and carries out its effects.
+ * Feeds the events of a loop through the decision logic and executes the resulting effects.
  *
- * @param now clock of the process in milliseconds, never set back
- * @returns settles when the loop ends; rejects with what the logic or a handler threw
+ * @param now monotonic clock of the process in milliseconds
+ * @returns settles when the loop ends; rejects with the error that the logic or a handler threw
  */
 export async function runLoop<Event, Effect extends { type: string }> (
-  loop: Loop<Event>, core: Core<Event, Effect>, handlers: EffectHandlers<Effect>, now: () => number
+  loop: Loop<Event>, core: DecisionLogic<Event, Effect>, handlers: EffectHandlers<Effect>, now: () => number
 ): Promise<void> {
   const table = handlers as unknown as Record<string, (effect: Effect) => void>
   await loop.turns()
@@ -126,6 +126,6 @@
     })
 }
 
-function effectsOf<Event, Effect> (core: Core<Event, Effect>, events: Event[], now: number): Effect[] {
+function effectsOf<Event, Effect> (core: DecisionLogic<Event, Effect>, events: Event[], now: number): Effect[] {
   return events.flatMap(event => core.handle(event, now))
 }
--- a/packages/daemon/src/looplag.ts
+++ b/packages/daemon/src/looplag.ts
@@ -1,11 +1,11 @@
 /** How late turns of the event loop are, measured by the ticks of the process's one timer. */
 import type { Exposition } from './exposition.ts'
-import type { Note } from './ports.ts'
+import type { LogDecision } from './ports.ts'
 import { TIMER_MARGIN_MILLISECONDS } from '@amaranthmast/dispatch/defaults'
 import { Distribution } from './distribution.ts'
 
 /** Between two lines on late turns, in milliseconds. */
-const NOTE_MILLISECONDS = 1000
+const REPORT_INTERVAL_MILLISECONDS = 1000
 
 /** Quantiles that are shown; 1 is the latest turn. */
 const QUANTILES = [0.5, 0.9, 0.99, 1]
@@ -17,7 +17,7 @@
   threshold: number
   /** Clock in milliseconds that is never set back. */
   now: () => number
-  note: Note
+  note: LogDecision
 }
 
 /** Late turns that no line has told of yet. */
@@ -46,8 +46,8 @@
   #tickedAt = Number.NaN
   #interval = 0
   #lateTurns = 0
-  #untold: LateTurns | undefined
-  #toldAt = Number.NEGATIVE_INFINITY
+  #unreported: LateTurns | undefined
+  #reportedAt = Number.NEGATIVE_INFINITY
 
   constructor (options: LoopLagOptions) {
     this.#options = options
@@ -66,7 +66,7 @@
     this.#tickedAt = now
     this.#distribution.record(late)
     if (late > this.#options.threshold) this.#count(late, now)
-    if (this.#untold !== undefined && now - this.#toldAt >= NOTE_MILLISECONDS) this.#tell(this.#untold, now)
+    if (this.#unreported !== undefined && now - this.#reportedAt >= REPORT_INTERVAL_MILLISECONDS) this.#report(this.#unreported, now)
   }
 
   expose (exposition: Exposition): void {
@@ -76,13 +76,13 @@
 
   #count (late: number, at: number): void {
     this.#lateTurns += 1
-    const count = (this.#untold?.count ?? 0) + 1
-    this.#untold = this.#untold !== undefined && this.#untold.late >= late ? { ...this.#untold, count } : { count, late, interval: this.#interval, at }
+    const count = (this.#unreported?.count ?? 0) + 1
+    this.#unreported = this.#unreported !== undefined && this.#unreported.late >= late ? { ...this.#unreported, count } : { count, late, interval: this.#interval, at }
   }
 
-  #tell ({ count, late, interval, at }: LateTurns, now: number): void {
-    this.#untold = undefined
-    this.#toldAt = now
+  #report ({ count, late, interval, at }: LateTurns, now: number): void {
+    this.#unreported = undefined
+    this.#reportedAt = now
     this.#options.note('event loop late', { late: Math.round(late), interval, ago: Math.round(now - at), turns: count, threshold: this.#options.threshold })
   }
 }
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -40,7 +40,7 @@
   if (options === undefined) return EXIT_BAD_SETTINGS
   if (options.help === true) return print(USAGE)
   if (options.version === true) return print(`${VERSION}\n`)
-  if (options.settings === undefined) return complain('--settings FILE is missing; see --help')
+  if (options.settings === undefined) return printError('--settings FILE is missing; see --help')
   return await start(options.settings, options['check-settings'] === true)
 }
 
@@ -48,7 +48,7 @@
   // Loaded here, so that --help and --version do without the schema library.
   const { readSettings } = await import('@amaranthmast/settings/settings')
   const settings = readSettings(path)
-  if (settings.isErr()) return complain(settings.error.message)
+  if (settings.isErr()) return printError(settings.error.message)
   if (checkOnly) return print(`${path}: good settings of the ${settings.value.role} ${settings.value.id}\n`)
   return await run(settings.value)
 }
@@ -97,7 +97,7 @@
       }
     }).values
   } catch (error) {
-    complain(`${(error as Error).message}; see --help`)
+    printError(`${(error as Error).message}; see --help`)
     return undefined
   }
 }
@@ -107,7 +107,7 @@
   return 0
 }
 
-function complain (message: string): number {
+function printError (message: string): number {
   process.stderr.write(`${message}\n`)
   return EXIT_BAD_SETTINGS
 }
--- a/packages/daemon/src/outbox.ts
+++ b/packages/daemon/src/outbox.ts
@@ -1,5 +1,5 @@
 /** What waits to be sent over one link: everything of one turn leaves as one frame. */
-import { FRAME_ITEMS, OUTBOX_ITEMS } from './defaults.ts'
+import { MAX_FRAME_MESSAGES, MAX_OUTBOX_MESSAGES } from './defaults.ts'
 
 /**
  * Messages for one peer, read as frames by the transport. While the transport is busy, messages
@@ -7,7 +7,7 @@
  */
 export class Outbox<Message, Frame> {
   readonly #toFrame: (messages: readonly Message[]) => Frame
-  #waiting: Message[] = []
+  #messages: Message[] = []
   #ended = false
   #wake: (() => void) | undefined
 
@@ -23,15 +23,15 @@
    */
   push (message: Message, urgent = true): boolean {
     if (this.#ended) return true
-    if (this.#waiting.length >= OUTBOX_ITEMS) return false
-    this.#waiting.push(message)
+    if (this.#messages.length >= MAX_OUTBOX_MESSAGES) return false
+    this.#messages.push(message)
     if (urgent) this.#wake?.()
     return true
   }
 
   /** Lets leave what waits for an urgent message. */
   flush (): void {
-    if (this.#waiting.length > 0) this.#wake?.()
+    if (this.#messages.length > 0) this.#wake?.()
   }
 
   /** Ends the frames after what waits now has been read. */
@@ -47,17 +47,17 @@
   async * frames (): AsyncGenerator<Frame> {
     yield this.#toFrame([])
     while (true) {
-      if (this.#waiting.length > 0) {
-        yield this.#toFrame(this.#waiting.splice(0, FRAME_ITEMS))
+      if (this.#messages.length > 0) {
+        yield this.#toFrame(this.#messages.splice(0, MAX_FRAME_MESSAGES))
       } else if (this.#ended) {
         return
       } else {
-        await this.#pushed()
+        await this.#nextPush()
       }
     }
   }
 
-  async #pushed (): Promise<void> {
+  async #nextPush (): Promise<void> {
     await new Promise<void>(resolve => { this.#wake = resolve })
     this.#wake = undefined
   }
--- a/packages/daemon/src/ports.ts
+++ b/packages/daemon/src/ports.ts
@@ -1,4 +1,4 @@
-/** What the leased entry and agent need of the world outside, each implemented by an adapter. */
+/** Interfaces through which the lease-based entry and agent use the target, the store and the callers; adapters implement them. */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { Answer } from '@amaranthmast/dispatch/entrytypes'
 import type { JobRequest } from '@amaranthmast/dispatch/job'
@@ -9,7 +9,7 @@
 
 type EffectOf<Type extends AgentEffect['type']> = Extract<AgentEffect, { type: Type }>
 
-/** The target beside an agent. How each call ended is posted as an event; none throws. */
+/** The target of an agent. The end of each call is posted as an event; no method throws. */
 export interface TargetPort {
   start: (order: EffectOf<'start'>) => void
   stop: (order: EffectOf<'stop'>) => void
@@ -17,10 +17,10 @@
   close: () => void
 }
 
-/** Makes the port of the target, given where its events go. */
+/** Creates the port of the target. `post` receives its events. */
 export type TargetPortFactory = (post: (event: AgentEvent) => void) => TargetPort
 
-/** Where a process is found. */
+/** Name and address of a process. */
 export interface InstanceRecord {
   name: string
   role: string
@@ -28,66 +28,66 @@
   address: string
 }
 
-/** What the operators have written into the store. */
+/** Callbacks for what operators write into the store. */
 export interface OperatorEvents {
-  /** Each new configuration; `document` is what other entries are handed. */
+  /** Called with each new configuration; `document` is its text, which is sent to other entries. */
   configured: (configuration: DispatchConfiguration, document: string) => void
-  /** What was handed over was all that there was at this time of the process's clock, in milliseconds. */
+  /** Nothing newer than the last reported configuration existed at this time of the process's clock, in milliseconds. */
   confirmed: (at: number) => void
-  /** Changes may have been missed: until the next confirmation nothing is certain. */
+  /** Changes may have been missed: earlier confirmations no longer hold until the next one. */
   doubted: () => void
-  /** The evacuated data centres, with each read. */
+  /** Called with the evacuated data centres after each read. */
   evacuated: (state: EvacuationState) => void
 }
 
-/** Calls to the store of one kind that ended in one way. */
+/** Number of store calls of one kind with one outcome. */
 export interface CallCount {
   kind: string
   end: string
   count: number
 }
 
-/** What is agreed or kept in the platform's store. */
+/** The platform's store, which holds shared and persistent state. */
 export interface StorePort {
   /** Publishes this process for as long as it runs. */
   publish: (record: InstanceRecord) => void
-  /** Tells of other processes, now and whenever they change. */
+  /** Reports the records of other processes, at once and after each change. */
   watchInstances: (found: (records: readonly InstanceRecord[]) => void) => void
-  /** Tells what the operators write, within about a second. */
+  /** Reports what operators write, within about a second. */
   watchOperators: (events: OperatorEvents) => void
-  /** Reads which data centres are evacuated; undefined while the store does not answer. */
+  /** Reads the evacuated data centres; undefined while the store does not answer. */
   readEvacuations: () => Promise<EvacuationState | undefined>
-  /** Reads a document that another entry has handed over; undefined when it is not understood. */
+  /** Parses a configuration document sent by another entry; undefined when it cannot be read. */
   readConfiguration: (document: string) => DispatchConfiguration | undefined
-  /** Keeps what an agent knows of its target for a while, also after this process has ended. */
+  /** Stores what an agent has recorded about its target; it is kept for a while after this process has ended. */
   rememberTarget: (facts: TargetFacts) => void
-  /** What an earlier run of the agent kept; undefined when there is nothing, or the store does not answer. */
+  /** Reads what an earlier incarnation of the agent stored; undefined when there is nothing or the store does not answer. */
   recallTarget: (agent: string) => Promise<TargetFacts | undefined>
-  /** Calls so far, by kind. */
+  /** Number of calls so far, by kind. */
   calls: () => Readonly<Record<string, number>>
-  /** Ended calls so far, by kind and how they ended. */
+  /** Number of ended calls so far, by kind and outcome. */
   ends: () => readonly CallCount[]
   close: () => Promise<void>
 }
 
-/** Why a request has no queue. */
+/** Why no queue was found for a request. */
 export enum QueueLookup {
-  /** There is no configuration yet. */
+  /** No configuration has been received yet. */
   Unconfigured = 'unconfigured',
-  /** The configuration has none, and it is the newest one. */
+  /** The configuration lacks the queue and is the newest one. */
   Missing = 'missing',
-  /** The configuration has none, and there may be a newer one. */
+  /** The configuration lacks the queue, and a newer one may exist. */
   Uncertain = 'uncertain'
 }
 
-/** What callers' requests become. */
+/** Callbacks for the requests of callers. */
 export interface CallerEvents {
   find: (host: string, path: string) => Queue | QueueLookup
   limits: () => RequestLimits | undefined
   submitted: (request: number, job: JobRequest) => void
   cancelAsked: (request: number, id: string) => void
   stateAsked: (request: number, id: string) => void
-  /** Jobs of the queue of which no task has started. */
+  /** Number of jobs of the queue that have no started task. */
   waiting: (queue: Queue) => number
   gone: (request: number) => void
   ready: () => boolean
@@ -97,17 +97,17 @@
 export interface CallerPort {
   listen: () => Promise<void>
   answer: (request: number, answer: Answer) => void
-  /** New requests are answered with a closing connection. */
+  /** Closes the connection after each response from now on. */
   drain: () => void
-  /** Requests that wait for an answer. */
+  /** Number of requests that wait for an answer. */
   open: () => number
   close: () => void
 }
 
-/** Writes a decision to the log, within the budget of its lines. */
-export type Note = (what: string, fields: Record<string, unknown>) => void
+/** Writes a decision to the log if the line budget allows it. */
+export type LogDecision = (what: string, fields: Record<string, unknown>) => void
 
-export type CallerPortFactory = (events: CallerEvents, note: Note) => CallerPort
+export type CallerPortFactory = (events: CallerEvents, note: LogDecision) => CallerPort
 
 /** Settings that both roles share. */
 export interface ServiceSettings {
@@ -115,20 +115,20 @@
   dataCentre: string
   host: string
   linkPort: number
-  /** Where others reach the listener for links, `host:port`. */
+  /** Address at which other processes reach the listener for links, `host:port`. */
   linkAddress: string
-  /** Hosts of processes that may know others. */
+  /** Hosts of processes that are dialled to discover others. */
   seeds: string[]
   metrics: { host: string, port: number }
   bounds: {
-    /** After the order to stop, the process must have ended. */
+    /** Time after a stop request within which the process must have exited. */
     grace: number
     stop: number
-    /** Tasks may start at a target within this time after the agent acknowledged its notice. */
+    /** Time after the agent acknowledged the target's notice during which tasks may still start there. */
     drain: number
     longestLease: number
     resubmission: number
-    /** A configuration is in force everywhere within this time after it was accepted, in milliseconds. */
+    /** Time within which an accepted configuration must be in force everywhere, in milliseconds. */
     configuration: number
   }
   scheduling: SchedulingSettings
--- a/packages/daemon/src/seeds.ts
+++ b/packages/daemon/src/seeds.ts
@@ -17,12 +17,12 @@
 const openStream: OpenStream<AgentFrame, EntryFrame> = (client, frames, options) => client.agent(frames, options)
 
 /** Whether a stream only asks for the view. */
-export function asksForView (context: HandlerContext): boolean {
+export function isViewRequest (context: HandlerContext): boolean {
   return context.requestHeader.has(SEED_HEADER)
 }
 
 /** Answers such a stream: one greeting, and the end. */
-export async function * tellView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
+export async function * sendView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
   yield entryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
 }
 
@@ -31,7 +31,7 @@
   readonly #environment: Environment
   readonly #addresses: readonly string[]
   readonly #stopped = new AbortController()
-  #asking = false
+  #requesting = false
 
   /** @param addresses URLs of inner listeners */
   constructor (environment: Environment, addresses: readonly string[]) {
@@ -44,13 +44,13 @@
    * together do not all ask the same. Undefined when none does, or while another call asks.
    */
   async view (): Promise<View | undefined> {
-    if (this.#asking) return undefined
-    this.#asking = true
+    if (this.#requesting) return undefined
+    this.#requesting = true
     const first = Math.floor(this.#environment.random() * this.#addresses.length)
     const addresses = [...this.#addresses.slice(first), ...this.#addresses.slice(0, first)]
     let view: View | undefined
-    for (const address of addresses) view ??= await this.#ask(address)
-    this.#asking = false
+    for (const address of addresses) view ??= await this.#request(address)
+    this.#requesting = false
     return view
   }
 
@@ -59,12 +59,12 @@
     this.#stopped.abort()
   }
 
-  async #ask (address: string): Promise<View | undefined> {
+  async #request (address: string): Promise<View | undefined> {
     const answered = new AbortController()
     const signal = AbortSignal.any([answered.signal, this.#stopped.signal])
     const dial = { own: this.#environment.instance, open: openStream }
     let view: View | undefined
-    await runStream(dial, { instance: '', address }, signal, greeting(), { [SEED_HEADER]: '1' }, frame => {
+    await runStream(dial, { instance: '', address }, signal, emptyFrame(), { [SEED_HEADER]: '1' }, frame => {
       view ??= viewOf(frame)
       if (view !== undefined) answered.abort()
     })
@@ -73,7 +73,7 @@
 }
 
 /** The transport sends its headers only together with a first frame. */
-async function * greeting (): AsyncGenerator<AgentFrame> {
+async function * emptyFrame (): AsyncGenerator<AgentFrame> {
   yield agentFrame([])
 }
 
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -76,9 +76,9 @@
     const result = await this.#options.client.compareAndSwap(viewKey(this.#options.settings.prefix), expectedRevision, value)
     if (result.isOk()) return this.#written(result.value.applied ? 'applied' : 'conflict')
     if (!result.error.mayHaveTakenEffect) return this.#written('conflict')
-    const back = await this.#reader.fetch()
-    if (back === undefined || back.revision === expectedRevision) return this.#written('unknown')
-    this.#written(encodeView(back.view) === value ? 'applied' : 'conflict')
+    const readBack = await this.#reader.fetch()
+    if (readBack === undefined || readBack.revision === expectedRevision) return this.#written('unknown')
+    this.#written(encodeView(readBack.view) === value ? 'applied' : 'conflict')
   }
 
   /** Ends the watches and what is being tried again. */
--- a/packages/daemon/src/supervise.ts
+++ b/packages/daemon/src/supervise.ts
@@ -1,6 +1,6 @@
 /** Runs a daemon until it is stopped by a signal, or by a fault. */
 import { setTimeout as pause } from 'node:timers/promises'
-import { STOP_LIMIT_MILLISECONDS } from './defaults.ts'
+import { MAX_STOP_MILLISECONDS } from './defaults.ts'
 import type { Daemon } from './environment.ts'
 import type { Logger } from './log.ts'
 
@@ -24,7 +24,7 @@
  * @param stopLimit longest time of a planned stop in milliseconds
  * @returns exit code of the process
  */
-export async function runUntilStopped (daemon: Daemon, log: Logger, stopLimit = STOP_LIMIT_MILLISECONDS): Promise<number> {
+export async function runUntilStopped (daemon: Daemon, log: Logger, stopLimit = MAX_STOP_MILLISECONDS): Promise<number> {
   const cutShort = new Promise<End>(resolve => onSignals(daemon, log, stopLimit, resolve))
   const end = await Promise.race([runToEnd(daemon, log), cutShort])
   if (end === End.CutShort) log.warn(daemon.unfinished(), 'planned stop cut short, work is left')
--- a/packages/daemon/src/suspension.ts
+++ b/packages/daemon/src/suspension.ts
@@ -4,7 +4,7 @@
  */
 
 /** A jump of the time of day below this is taken for an adjustment of the clock. */
-const SMALLEST_SUSPENSION_MILLISECONDS = 150
+const MIN_SUSPENSION_MILLISECONDS = 150
 
 export class SuspensionWatch {
   readonly #steady: () => number
@@ -26,6 +26,6 @@
     const offset = this.#wall() - this.#steady()
     const ahead = offset - this.#offset
     this.#offset = offset
-    return ahead >= SMALLEST_SUSPENSION_MILLISECONDS ? ahead : 0
+    return ahead >= MIN_SUSPENSION_MILLISECONDS ? ahead : 0
   }
 }
--- a/packages/daemon/src/targetcall.ts
+++ b/packages/daemon/src/targetcall.ts
@@ -1,7 +1,7 @@
 /** One call to a target, and what can be said for certain of how it ended. */
 import { TaskOutcome } from '@amaranthmast/coordination/messages'
 import type { Dispatcher } from 'undici'
-import { FAILURE_DETAIL_LENGTH, RESULT_LIMIT } from './defaults.ts'
+import { FAILURE_DETAIL_LENGTH, MAX_RESULT_BYTES } from './defaults.ts'
 
 /** How a call ended. */
 export interface CallEnd {
@@ -13,7 +13,7 @@
 }
 
 const STATUS_OK = 200
-const NOTHING = new Uint8Array(0)
+const EMPTY = new Uint8Array(0)
 
 /**
  * Collects the response of one call and settles once.
@@ -56,8 +56,8 @@
   onResponseData (controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#size += chunk.length
     this.#chunks.push(chunk)
-    if (this.#size <= RESULT_LIMIT) return
-    this.#finish(failed(`the result of the target is larger than ${RESULT_LIMIT} bytes`))
+    if (this.#size <= MAX_RESULT_BYTES) return
+    this.#finish(failed(`the result of the target is larger than ${MAX_RESULT_BYTES} bytes`))
     controller.abort(new Error('too large'))
   }
 
@@ -72,7 +72,7 @@
 
   #fail (detail: string): void {
     const outcome = this.#controller === undefined ? TaskOutcome.NotStarted : TaskOutcome.MayHaveRun
-    this.#finish({ outcome, payload: NOTHING, detail })
+    this.#finish({ outcome, payload: EMPTY, detail })
   }
 
   #finish (end: CallEnd): void {
@@ -101,5 +101,5 @@
 }
 
 function failed (detail: string): CallEnd {
-  return { outcome: TaskOutcome.Failed, payload: NOTHING, detail }
+  return { outcome: TaskOutcome.Failed, payload: EMPTY, detail }
 }
--- a/packages/daemon/src/targets.ts
+++ b/packages/daemon/src/targets.ts
@@ -1,12 +1,12 @@
-/** Calls to the target beside an agent. */
+/** HTTP client for the target of an agent. */
 import type { AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import type { Dispatch } from '@amaranthmast/coordination/messages'
 import { Pool } from '@amaranthmast/store/connections'
 import { TARGET_KEEP_ALIVE_MILLISECONDS, TARGET_TIMEOUT_MILLISECONDS } from './defaults.ts'
 import { TargetCall } from './targetcall.ts'
 
-/** Calls one target, within its slots. */
-export class Target {
+/** Calls one target with at most as many connections as it has slots. */
+export class TargetClient {
   readonly #pool: InstanceType<typeof Pool>
   readonly #post: (event: AgentEvent) => void
   readonly #now: () => number
@@ -15,8 +15,8 @@
 
   /**
    * @param url base URL of the target
-   * @param slots most tasks, and so connections, at one time
-   * @param post takes a `taskEnded` for each task
+   * @param slots maximum number of concurrent tasks, and so of connections
+   * @param post receives a `taskEnded` for each task
    * @param now clock in milliseconds
    */
   constructor (url: string, slots: number, post: (event: AgentEvent) => void, now: () => number) {
@@ -33,7 +33,7 @@
     })
   }
 
-  /** Calls the target, once; never again after a failure. */
+  /** Calls the target once; a failed call is not retried. */
   start (task: number, dispatch: Dispatch): void {
     const started = this.#now()
     const call = new TargetCall(end => {
@@ -44,17 +44,17 @@
     this.#pool.dispatch({ path: this.#path, method: 'POST', headers: headersOf(dispatch), body: dispatch.payload }, call)
   }
 
-  /** Breaks a call off; how it ended is still posted. */
+  /** Aborts a call; its end is still posted. */
   abort (task: number): void {
     this.#calls.get(task)?.abort()
   }
 
-  /** Calls in progress. */
+  /** Number of calls in progress. */
   get size (): number {
     return this.#calls.size
   }
 
-  /** Ends the connections; calls in progress fail. */
+  /** Closes all connections; calls in progress fail. */
   async close (): Promise<void> {
     await this.#pool.destroy()
   }
--- a/packages/daemon/test/callers.test.ts
+++ b/packages/daemon/test/callers.test.ts
@@ -1,4 +1,4 @@
-/** The callers' interface over HTTP, with the decision logic played by the test. */
+/** The HTTP interface for callers; the test takes the place of the decision logic. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { Answer } from '@amaranthmast/coordination/messages'
 import { AnswerKind, Cause, JobState } from '@amaranthmast/coordination/messages'
@@ -26,7 +26,7 @@
   expect(bare(await reply)).toEqual({ status: 200, body: { kind: 'complete', job: 'j1', results: [{ ok: 1 }] } })
 })
 
-test('answers out of order reach their own callers', async context => {
+test('answers given out of order are sent to the right callers', async context => {
   const { callers, port, next } = await start(context)
   const first = call(port, 'POST', '/v1/jobs', JSON.stringify({ ...job, job: 'a' }))
   const firstEvent = await next()
@@ -36,7 +36,7 @@
   expect([(await first).body.job, (await second).body.job]).toEqual(['a', 'b'])
 })
 
-test('a look-up asks for the state', async context => {
+test('a look-up requests the state of the job', async context => {
   const { callers, port, next } = await start(context)
   const reply = call(port, 'GET', '/v1/jobs/magnolia/j1')
   const event = await next()
@@ -86,9 +86,9 @@
   expect(events).toEqual([])
 })
 
-test('a caller that goes away is reported once and gets nothing', async context => {
-  // A driver closes the app while the check runs. The connection ends before the answer is there,
-  // and the answer must go nowhere, above all not to the next caller of that connection.
+test('a caller that disconnects is reported once and gets no answer', async context => {
+  // The connection ends before the answer is available. The answer must be discarded and in
+  // particular not be sent to the next caller on that connection.
   const { callers, port, next, events } = await start(context)
   const abandoned = request({ port, method: 'POST', path: '/v1/jobs' })
   abandoned.on('error', () => {})
@@ -101,7 +101,7 @@
   expect(events.length).toEqual(2)
 })
 
-test('a caller that breaks off its body submits nothing', async context => {
+test('a request whose body is cut off submits nothing', async context => {
   const { port, events } = await start(context)
   const broken = request({ port, method: 'POST', path: '/v1/jobs', headers: { 'content-length': 1000 } })
   broken.on('error', () => {})
@@ -112,7 +112,7 @@
   expect(events).toEqual([])
 })
 
-test('a refusal tells when to come back', async context => {
+test('a refusal states when to retry', async context => {
   const { callers, port, next } = await start(context)
   const reply = call(port, 'POST', '/v1/jobs', JSON.stringify(job))
   callers.answer(requestOf(await next()), { ...complete, kind: AnswerKind.Refused, cause: Cause.Overloaded, results: [], retryAfterMilliseconds: 1500 })
@@ -120,7 +120,7 @@
   expect([status, headers['retry-after'], body.retryAfterMilliseconds]).toEqual([503, '2', 1500])
 })
 
-test('readiness follows the state and health does not', async context => {
+test('readiness depends on the state and health does not', async context => {
   const { port, setReady } = await start(context)
   const before = await call(port, 'GET', '/readyz')
   setReady(false)
@@ -128,7 +128,7 @@
   expect([before.status, after.status, (await call(port, 'GET', '/healthz')).status]).toEqual([200, 503, 200])
 })
 
-test('a draining entry asks its callers to connect anew', async context => {
+test('a draining entry closes the connections of its callers', async context => {
   const { callers, port, next } = await start(context)
   const reply = call(port, 'POST', '/v1/jobs', JSON.stringify(job))
   const event = await next()
@@ -137,7 +137,7 @@
   expect((await reply).headers.connection).toEqual('close')
 })
 
-test('a caller whose answer an ending entry does not have is told that the job may have run', async context => {
+test('a caller that still waits when the entry ends is answered that the job may have run', async context => {
   const { callers, port, next } = await start(context)
   const reply = call(port, 'POST', '/v1/jobs', JSON.stringify(job))
   await next()
--- a/packages/daemon/test/decisionlog.test.ts
+++ b/packages/daemon/test/decisionlog.test.ts
@@ -1,4 +1,4 @@
-/** The log of decisions, written by a process of its own to a pipe, as the platform reads it. */
+/** The decision log, written by a separate process to a pipe, as the platform reads it. */
 import type { Step } from './decisionwriter.ts'
 import { expect } from 'earl'
 import { spawn } from 'node:child_process'
@@ -14,9 +14,9 @@
 }
 
 /**
- * Lines that the process wrote.
+ * Returns the lines that the process wrote.
  *
- * @param reads whether its output is read from the start; else once it has said that it is done
+ * @param reads whether its output is read from the start; otherwise only after it has reported that it is done
  */
 async function linesOf (steps: Step[], reads = true): Promise<Line[]> {
   const writer = spawn(process.execPath, ['--import', 'tsx', WRITER, JSON.stringify(steps)])
@@ -32,21 +32,21 @@
   return lines.filter(({ msg }) => msg === what).length
 }
 
-// Under load the lines of jobs used up the budget, and those that explain a fault were dropped first.
-test('a line that tells a change gets through when routine lines have used up their budget', async () => {
+// With a shared budget, the lines of jobs use it up under load, and the lines that explain a failure are dropped.
+test('a line that reports a change is written when routine lines have used up their budget', async () => {
   const lines = await linesOf([{ what: 'job taken', count: 2000 }, { what: 'target lost', fields: { reason: 'refused' } }])
   expect(countOf(lines, 'target lost')).toEqual(1)
   expect(countOf(lines, 'job taken') < 2000).toEqual(true)
 })
 
-// A storm of changes must neither fill the log nor take the lines of jobs with it.
-test('lines that tell changes are bounded, and leave the routine lines theirs', async () => {
+// A burst of changes must neither flood the log nor displace the lines of jobs.
+test('lines that report changes are bounded and leave the budget of routine lines untouched', async () => {
   const lines = await linesOf([{ what: 'stray run stopped', count: 2000 }, { what: 'job taken', count: 100 }])
   expect(countOf(lines, 'stray run stopped') <= 300).toEqual(true)
   expect(countOf(lines, 'job taken')).toEqual(100)
 })
 
-test('both kinds together stay within one bound in each second', async () => {
+test('both classes together stay within a bound per second', async () => {
   const storm = [{ what: 'job taken', count: 2000 }, { what: 'target lost', count: 2000 }]
   const seconds = 5
   const lines = await linesOf([...storm, ...Array.from({ length: seconds }, () => [{ clock: 1000, pause: 20 }, ...storm]).flat()])
@@ -54,15 +54,15 @@
   expect(countOf(lines, 'target lost') >= seconds * 100).toEqual(true)
 })
 
-// With many callers most starts that come back found no room: these would use up the budget for the others.
-test('starts that found no room count as routine, those that ended otherwise do not', async () => {
+// With many callers, most of the starts that fail do so because the target is full. Counted as changes, they would use up the budget of the others.
+test('starts that fail because the target is full are routine, those that fail for another reason are not', async () => {
   const again = 'task to be placed again'
   const lines = await linesOf([{ what: again, fields: { cause: 'full' }, count: 2000 }, { what: again, fields: { cause: 'targetLost' }, count: 20 }])
   expect(lines.filter(({ cause }) => cause === 'targetLost').length).toEqual(20)
   expect(lines.filter(({ cause }) => cause === 'full').length < 2000).toEqual(true)
 })
 
-test('the warning of dropped lines counts both kinds', async () => {
+test('the warning about dropped lines counts both classes', async () => {
   const lines = await linesOf([{ what: 'job taken', count: 2000 }, { what: 'target lost', count: 3000 }, { pause: 800 }])
   const warning = lines.find(({ msg }) => msg === 'lines dropped')
   const routine = 2000 - countOf(lines, 'job taken')
@@ -70,8 +70,8 @@
   expect([warning?.['routine'], warning?.['change'], warning?.['dropped']]).toEqual([routine, change, routine + change])
 })
 
-// Routine lines filled the buffer, and what came later was dropped whatever it told.
-test('a reader that does not read loses routine lines first, and holds nothing up', async () => {
+// If routine lines can fill the whole buffer, all later lines are dropped whatever they report.
+test('when the reader stops reading, routine lines are dropped first and the process is not blocked', async () => {
   const seconds = 40
   const routine = Array.from({ length: seconds }, () => ({ what: 'job taken', fields: { queue: 'q'.repeat(200) }, count: 200, clock: 1000 }))
   const lines = await linesOf([...routine, { what: 'target lost', count: 20 }], false)
--- a/packages/daemon/test/decisionwriter.ts
+++ b/packages/daemon/test/decisionwriter.ts
@@ -1,17 +1,17 @@
 /**
- * A process that writes decisions to its standard output, for the tests of the log. Its argument is a list of
- * steps. It says `written` on standard error before it writes out what waits.
+ * Program that writes decisions to its standard output, for the tests of the decision log. Its argument is a list of
+ * steps. It prints `written` on standard error before it flushes the buffered lines.
  */
 import { openDecisionLog } from '../src/decisionlog.ts'
 
-/** Time for what is being written, in milliseconds: what is written out at the end would come between. */
+/** Time for asynchronous writes to finish, in milliseconds: the synchronous flush at the end would otherwise interleave with them. */
 const WRITING_MILLISECONDS = 200
 
 export interface Step {
   what?: string
   fields?: Record<string, unknown>
   count?: number
-  /** Milliseconds by which the clock moves before the step. */
+  /** Milliseconds by which the clock is advanced before the step. */
   clock?: number
   /** Milliseconds to wait for before the step. */
   pause?: number
--- a/packages/daemon/test/links.test.ts
+++ b/packages/daemon/test/links.test.ts
@@ -1,10 +1,10 @@
-/** Links between processes: connected and disconnected once each, and nothing delivered in between. */
+/** Links between processes: each is reported as connected and disconnected once, and delivers nothing outside of that. */
 import { expect } from 'earl'
 import { test } from 'node:test'
 import { Links } from '../src/links.ts'
 import { Outbox } from '../src/outbox.ts'
 
-test('a link is reported once when it is up and once when it is gone', () => {
+test('a link is reported once when it connects and once when it disconnects', () => {
   const { links, events } = start()
   const link = links.open('a#1', links.newOutbox(), () => {})
   link.close()
@@ -12,9 +12,9 @@
   expect(events).toEqual(['up a#1', 'down a#1'])
 })
 
-test('nothing of a link arrives after it was reported as gone', () => {
-  // A peer's stream breaks while a frame of it is still being read. Delivered late, its messages
-  // would be taken for those of the next link, and a result would be counted twice.
+test('a link delivers nothing after it was reported as disconnected', () => {
+  // A peer's stream breaks while one of its frames is still being read. Messages delivered late
+  // would be attributed to the next link, and a result would be counted twice.
   const { links, events } = start()
   const link = links.open('a#1', links.newOutbox(), () => {})
   link.receive([1, 2])
@@ -34,7 +34,7 @@
   expect([events, broken]).toEqual([['up a#1', 'down a#1', 'up a#1', 'a#1 2'], true])
 })
 
-test('a message goes to the new link of its peer only', async () => {
+test('a message is sent only over the newest link of its peer', async () => {
   const { links } = start()
   const first = links.newOutbox()
   const second = links.newOutbox()
@@ -45,7 +45,7 @@
   expect([await framesOf(first), await framesOf(second)]).toEqual([[[]], [[], [7]]])
 })
 
-test('a message to a peer without link is dropped', () => {
+test('a message to a peer without a link is dropped', () => {
   const { links, events } = start()
   links.send('a#1', 7)
   expect(events).toEqual([])
@@ -59,23 +59,23 @@
   expect([events, links.size]).toEqual([['up a#1', 'up b#1', 'down a#1'], 1])
 })
 
-test('a peer that reads nothing loses its link instead of filling the memory', () => {
+test('the link of a peer that reads nothing is closed, so that its outbox stays bounded', () => {
   const { links, events } = start()
   links.open('a#1', links.newOutbox(), () => {})
   for (let message = 0; message <= 65_536; message++) links.send('a#1', message)
   expect(events).toEqual(['up a#1', 'down a#1'])
 })
 
-test('a silent link is closed', () => {
-  // A switch swallows all packets of a peer. Neither end gets an error, and the work that was sent
-  // there would wait until the operating system gives the connection up.
+test('an unresponsive link is closed', () => {
+  // A switch drops all packets of a peer. Neither end gets an error, and the work that was sent
+  // there would wait until the operating system closes the connection.
   const { links, events } = start()
   links.open('a#1', links.newOutbox(), () => {})
   for (let now = 0; now <= 6000; now += 1000) links.sweep(now, 5000)
   expect(events).toEqual(['up a#1', 'down a#1'])
 })
 
-test('a link on which something arrives stays', () => {
+test('a link that receives data stays open', () => {
   const { links, events } = start()
   const link = links.open('a#1', links.newOutbox(), () => {})
   for (let now = 0; now <= 20_000; now += 1000) {
@@ -85,7 +85,7 @@
   expect(events).toEqual(['up a#1'])
 })
 
-test('a process that was paused itself closes no link', () => {
+test('a process closes no link after a pause of its own', () => {
   const { links, events } = start()
   links.open('a#1', links.newOutbox(), () => {})
   links.sweep(0, 5000)
@@ -93,7 +93,7 @@
   expect(events).toEqual(['up a#1'])
 })
 
-test('messages of one turn leave as one frame', async () => {
+test('messages of one turn are sent as one frame', async () => {
   const outbox = new Outbox<number, number[]>(messages => [...messages])
   const frames = outbox.frames()
   const opening = await frames.next()
@@ -109,7 +109,7 @@
 ]
 
 for (const { name, send, frame } of unhurried) {
-  test(`a message that is not urgent leaves with ${name}`, async () => {
+  test(`a message that is not urgent is sent with ${name}`, async () => {
     const outbox = new Outbox<number, number[]>(messages => [...messages])
     const frames = outbox.frames()
     await frames.next()
@@ -121,7 +121,7 @@
   })
 }
 
-test('what waits when an outbox ends still leaves', async () => {
+test('messages that are pending when an outbox ends are still sent', async () => {
   const outbox = new Outbox<number, number[]>(messages => [...messages])
   outbox.push(1)
   outbox.end()
--- a/packages/daemon/test/seeds.test.ts
+++ b/packages/daemon/test/seeds.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import type { Environment } from '../src/environment.ts'
 import { InnerListener } from '../src/innerlistener.ts'
-import { asksForView, Seeds, tellView } from '../src/seeds.ts'
+import { isViewRequest, Seeds, sendView } from '../src/seeds.ts'
 import { encodeView } from '../src/viewcodec.ts'
 
 const member = { instance: 'entry-1#a', address: 'http://127.0.0.1:7101', dataCentre: 'gulf-1', leaving: false }
@@ -19,9 +19,9 @@
   const asked = { times: 0 }
   const listener = new InnerListener({
     agent: (frames, context) => {
-      if (!asksForView(context)) throw new TypeError('a seed was asked for a link')
+      if (!isViewRequest(context)) throw new TypeError('a seed was asked for a link')
       asked.times += 1
-      return tellView('entry-1#a', view, 7)
+      return sendView('entry-1#a', view, 7)
     },
     peer: () => { throw new TypeError('no entry dials here') }
   })
--- a/packages/daemon/test/targets.test.ts
+++ b/packages/daemon/test/targets.test.ts
@@ -1,4 +1,4 @@
-/** Calls to a target, and what is said of each way in which one ends. */
+/** Calls to a target, and the outcome that is reported for each way in which a call ends. */
 import type { AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import type { Dispatch } from '@amaranthmast/coordination/messages'
 import { TaskOutcome } from '@amaranthmast/coordination/messages'
@@ -7,7 +7,7 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { test } from 'node:test'
-import { Target } from '../src/targets.ts'
+import { TargetClient } from '../src/targets.ts'
 
 type Ended = Extract<AgentEvent, { type: 'taskEnded' }>
 
@@ -27,7 +27,7 @@
   needs: { accelerators: 0, memoryMegabytes: 0 }
 }
 
-test('the target gets the payload and the names of the task', async () => {
+test('the target receives the payload and the identifiers of the task', async () => {
   const received: unknown[] = []
   const { target, next, close } = await start(async (request, response) => {
     received.push(request.url, await bodyOf(request), ...NAMES.map(name => request.headers[name]))
@@ -69,7 +69,7 @@
   await close()
 })
 
-test('a call broken off while the target works may have run', async () => {
+test('a task whose call is aborted while the target works may have run', async () => {
   const { target, next, close, arrived } = await start(() => {})
   target.start(1, dispatch)
   await arrived
@@ -78,10 +78,10 @@
   await close()
 })
 
-test('a call broken off before its connection is up never reaches the target', async () => {
-  // A wave of cancellations meets a task that was started a moment ago. If the call were reported
-  // as not started and still went out afterwards, the task would run although the caller was told
-  // that it did not.
+test('a call aborted before its connection is established never reaches the target', async () => {
+  // Many cancellations at once include a task that was started a moment ago. If the call were
+  // reported as not started but still sent afterwards, the task would run although its caller was
+  // answered that it did not.
   let requests = 0
   const { target, next, close } = await start((_request, response) => { requests += 1; response.end('1') })
   target.start(1, dispatch)
@@ -92,7 +92,7 @@
   await close()
 })
 
-test('a failed call is not made again', async () => {
+test('a failed call is not retried', async () => {
   let requests = 0
   const { target, next, close } = await start(request => { requests += 1; request.socket.destroy() })
   target.start(1, dispatch)
@@ -125,7 +125,7 @@
     if (taker === undefined) ended.push(event)
     else taker(event)
   }
-  const target = new Target(`http://127.0.0.1:${portOf(server)}`, slots, post, () => 0)
+  const target = new TargetClient(`http://127.0.0.1:${portOf(server)}`, slots, post, () => 0)
   const next = async (): Promise<Ended> => ended.shift() ?? await new Promise(resolve => waiting.push(resolve))
   const close = async (): Promise<void> => {
     await target.close()
--- a/packages/links/src/defaults.ts
+++ b/packages/links/src/defaults.ts
@@ -4,16 +4,16 @@
 export const GREETING_TIMEOUT_MILLISECONDS = 500
 
 /** First pause before a destination is dialled again; it doubles with every failure. */
-export const REDIAL_FIRST_MILLISECONDS = 50
+export const MIN_REDIAL_PAUSE_MILLISECONDS = 50
 
 /** Longest pause: a process that returns is linked within it. */
-export const REDIAL_LAST_MILLISECONDS = 500
+export const MAX_REDIAL_PAUSE_MILLISECONDS = 500
 
 /** How long a destination is dialled in vain before it is forgotten, unless it is named again. */
-export const FORGET_MILLISECONDS = 60_000
+export const DESTINATION_EXPIRY_MILLISECONDS = 60_000
 
 /** Largest message: a configuration of 1 MB in JSON, with room for its quotes. */
-export const MESSAGE_LIMIT = 4 * 1024 * 1024
+export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 /** Bytes that may wait for one peer: a link that holds more has a stuck reader and is closed. */
-export const BACKLOG_LIMIT = 16 * 1024 * 1024
+export const MAX_BACKLOG_BYTES = 16 * 1024 * 1024
--- a/packages/links/src/dialer.ts
+++ b/packages/links/src/dialer.ts
@@ -1,7 +1,7 @@
 /** Keeps links to a set of destinations: dials each again, with growing pauses, until it is forgotten. */
 import type { Greeting } from './greeting.ts'
 import { connect } from 'node:net'
-import { FORGET_MILLISECONDS, REDIAL_FIRST_MILLISECONDS, REDIAL_LAST_MILLISECONDS } from './defaults.ts'
+import { DESTINATION_EXPIRY_MILLISECONDS, MIN_REDIAL_PAUSE_MILLISECONDS, MAX_REDIAL_PAUSE_MILLISECONDS } from './defaults.ts'
 import { Link } from './link.ts'
 
 export interface DialerEvents {
@@ -16,7 +16,7 @@
   pause: number
   timer: NodeJS.Timeout | undefined
   /** When it was last linked or named. */
-  knownAt: number
+  lastSeenAt: number
 }
 
 export class Dialer {
@@ -51,10 +51,10 @@
     if (address === this.#own.address) return
     const known = this.#destinations.get(address)
     if (known !== undefined) {
-      known.knownAt = this.#now()
+      known.lastSeenAt = this.#now()
       return
     }
-    const destination: Destination = { address, link: undefined, pause: REDIAL_FIRST_MILLISECONDS, timer: undefined, knownAt: this.#now() }
+    const destination: Destination = { address, link: undefined, pause: MIN_REDIAL_PAUSE_MILLISECONDS, timer: undefined, lastSeenAt: this.#now() }
     this.#destinations.set(address, destination)
     this.#dial(destination)
   }
@@ -73,7 +73,7 @@
   }
 
   /** Breaks a link off and dials again at once. */
-  renew (name: string): void {
+  reconnect (name: string): void {
     this.#linked.get(name)?.link?.close('renewed')
   }
 
@@ -105,8 +105,8 @@
       link.close('own address')
       return
     }
-    destination.pause = REDIAL_FIRST_MILLISECONDS
-    destination.knownAt = this.#now()
+    destination.pause = MIN_REDIAL_PAUSE_MILLISECONDS
+    destination.lastSeenAt = this.#now()
     this.#linked.set(peer.name, destination)
     this.#events.linked(peer, destination.address)
   }
@@ -124,11 +124,11 @@
 
   #redial (destination: Destination): void {
     if (this.#stopped || !this.#destinations.has(destination.address)) return
-    if (this.#now() - destination.knownAt > FORGET_MILLISECONDS) {
+    if (this.#now() - destination.lastSeenAt > DESTINATION_EXPIRY_MILLISECONDS) {
       this.#destinations.delete(destination.address)
       return
     }
     destination.timer = setTimeout(() => this.#dial(destination), destination.pause)
-    destination.pause = Math.min(REDIAL_LAST_MILLISECONDS, destination.pause * 2)
+    destination.pause = Math.min(MAX_REDIAL_PAUSE_MILLISECONDS, destination.pause * 2)
   }
 }
--- a/packages/links/src/greeting.ts
+++ b/packages/links/src/greeting.ts
@@ -25,10 +25,10 @@
 
 const ADDRESS_PATTERN = /^[^:]+:(\d{1,5})$/
 
-const LAST_PORT = 65_535
+const MAX_PORT = 65_535
 
 /** Whether a connection can be tried there, `host:port`. To a port that is no number it throws, which would end the process; port 0 stands for no listener. */
 export function isAddress (value: unknown): value is string {
   const port = typeof value === 'string' ? Number(ADDRESS_PATTERN.exec(value)?.[1]) : -1
-  return port >= 0 && port <= LAST_PORT
+  return port >= 0 && port <= MAX_PORT
 }
--- a/packages/links/src/messagesocket.ts
+++ b/packages/links/src/messagesocket.ts
@@ -1,6 +1,6 @@
 /** Messages as lines of JSON on one connection; all of one turn of the event loop leave together. */
 import type { Socket } from 'node:net'
-import { BACKLOG_LIMIT, MESSAGE_LIMIT } from './defaults.ts'
+import { MAX_BACKLOG_BYTES, MAX_MESSAGE_BYTES } from './defaults.ts'
 
 export interface MessageSocketEvents {
   received: (message: unknown) => void
@@ -14,8 +14,8 @@
   readonly #socket: Socket
   readonly #events: MessageSocketEvents
   #lines: string[] = []
-  #parts: Buffer[] = []
-  #partial = 0
+  #chunks: Buffer[] = []
+  #bufferedBytes = 0
   #closed = false
 
   constructor (socket: Socket, events: MessageSocketEvents) {
@@ -50,25 +50,25 @@
     const text = `${this.#lines.join('\n')}\n`
     this.#lines = []
     this.#socket.write(text)
-    if (this.#socket.writableLength > BACKLOG_LIMIT) this.#close('the other end does not read')
+    if (this.#socket.writableLength > MAX_BACKLOG_BYTES) this.#close('the other end does not read')
   }
 
   #read (chunk: Buffer): void {
     let start = 0
     for (let end = chunk.indexOf(NEWLINE); end >= 0 && !this.#closed; end = chunk.indexOf(NEWLINE, start)) {
-      this.#line(chunk.subarray(start, end))
+      this.#readLine(chunk.subarray(start, end))
       start = end + 1
     }
     if (start >= chunk.length || this.#closed) return
-    this.#parts.push(chunk.subarray(start))
-    this.#partial += chunk.length - start
-    if (this.#partial > MESSAGE_LIMIT) this.#close('a message is too large')
+    this.#chunks.push(chunk.subarray(start))
+    this.#bufferedBytes += chunk.length - start
+    if (this.#bufferedBytes > MAX_MESSAGE_BYTES) this.#close('a message is too large')
   }
 
-  #line (end: Buffer): void {
-    const line = this.#parts.length === 0 ? end : Buffer.concat([...this.#parts, end])
-    this.#parts = []
-    this.#partial = 0
+  #readLine (end: Buffer): void {
+    const line = this.#chunks.length === 0 ? end : Buffer.concat([...this.#chunks, end])
+    this.#chunks = []
+    this.#bufferedBytes = 0
     let message: unknown
     try {
       message = JSON.parse(line.toString('utf8'))
--- a/packages/links/test/links.test.ts
+++ b/packages/links/test/links.test.ts
@@ -100,7 +100,7 @@
   await agentOn(port)
   const entry = entryDialling(`${HOST}:${port}`)
   await until(() => entry.heard.length === 1)
-  entry.dialer.renew('agent')
+  entry.dialer.reconnect('agent')
   await until(() => entry.heard.length === 3)
   expect(entry.heard).toEqual(['linked agent', 'unlinked agent', 'linked agent'])
 })
--- a/packages/logs/src/story.ts
+++ b/packages/logs/src/story.ts
@@ -3,7 +3,7 @@
 import { jobOf, processOf } from './logline.ts'
 
 /** Collects the lines of one job; holds nothing else, however long the logs are. */
-export class JobStory {
+export class JobTimeline {
   readonly #job: string
   readonly #lines: LogLine[] = []
 
@@ -11,7 +11,7 @@
     this.#job = job
   }
 
-  take (line: LogLine): void {
+  add (line: LogLine): void {
     if (jobOf(line) === this.#job) this.#lines.push(line)
   }
 
--- a/packages/logs/src/tally.ts
+++ b/packages/logs/src/tally.ts
@@ -1,13 +1,13 @@
 /** Counts of lost jobs, in bounded memory. */
 import type { LostJob } from './losses.ts'
 
-export interface Tallied {
+export interface CountedKey {
   key: string
   count: number
 }
 
 /** Lost jobs named as examples of each cause. */
-const EXAMPLES = 3
+const MAX_EXAMPLES = 3
 
 const MILLISECONDS_PER_SECOND = 1000
 
@@ -27,25 +27,25 @@
     count(this.#byEntry, `${entry} ${loss}`)
     for (const agent of agents) count(this.#byAgent, `${agent} ${loss}`)
     const examples = this.#examples.get(what) ?? []
-    if (examples.length < EXAMPLES) this.#examples.set(what, [...examples, job])
+    if (examples.length < MAX_EXAMPLES) this.#examples.set(what, [...examples, job])
   }
 
   /** Losses with their causes, most first. */
-  get byCause (): Array<Tallied & { examples: string[] }> {
+  get byCause (): Array<CountedKey & { examples: string[] }> {
     return ranked(this.#byCause).map(row => ({ ...row, examples: this.#examples.get(row.key) ?? [] }))
   }
 
   /** In the order of time. */
-  get bySecond (): Tallied[] {
+  get bySecond (): CountedKey[] {
     return ranked(this.#bySecond).sort((one, other) => one.key < other.key ? -1 : 1)
   }
 
-  get byEntry (): Tallied[] {
+  get byEntry (): CountedKey[] {
     return ranked(this.#byEntry)
   }
 
   /** Agents at which tasks of lost jobs came to nothing. */
-  get byAgent (): Tallied[] {
+  get byAgent (): CountedKey[] {
     return ranked(this.#byAgent)
   }
 }
@@ -54,6 +54,6 @@
   counts.set(key, (counts.get(key) ?? 0) + 1)
 }
 
-function ranked (counts: ReadonlyMap<string, number>): Tallied[] {
+function ranked (counts: ReadonlyMap<string, number>): CountedKey[] {
   return [...counts].map(([key, value]) => ({ key, count: value })).sort((one, other) => other.count - one.count)
 }
