--- a/packages/bench/src/detectionnetwork.ts
+++ b/packages/bench/src/detectionnetwork.ts
@@ -4,7 +4,7 @@
  * break. Packets that meet a cut are sent again after 0.2, 0.6, 1.4, 3 and 6.2 s, as TCP does.
  */
 import type { Instance } from '@amaranthmast/coordination/messages'
-import { CONNECT_TIMEOUT_MILLISECONDS, PROCESS_PAUSE_MILLISECONDS, MIN_RECONNECT_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS, MIN_SWEEP_INTERVAL_MILLISECONDS } from '@amaranthmast/daemon/defaults'
+import { CONNECT_TIMEOUT_MILLISECONDS, PROCESS_PAUSE_MILLISECONDS, RECONNECT_BASE_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS, MIN_SWEEP_INTERVAL_MILLISECONDS } from '@amaranthmast/daemon/defaults'
 import type { EventLoop } from './eventloop.ts'
 import type { FleetProcess } from './detectionprocess.ts'
 import { logUniform } from './random.ts'
@@ -231,7 +231,7 @@
 }
 
 function longestWait (failures: number): number {
-  return Math.min(MIN_RECONNECT_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
+  return Math.min(RECONNECT_BASE_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
 }
 
 function pair (from: Instance, to: Instance): string {
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,5 +1,5 @@
 /** `explain JOB LOG...`: one job's story over all processes. */
-import { JobTimeline } from '@amaranthmast/logs/story'
+import { JobTimeline } from '@amaranthmast/logs/jobtimeline'
 import type { Command } from './command.ts'
 import { ExitCode } from './exitcodes.ts'
 import { describeUnreadable, readLogs } from './logfiles.ts'
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -1,6 +1,6 @@
 /** `losses LOG...`: which jobs were late, refused or failed, when, and why. */
 import type { CountedKey } from '@amaranthmast/logs/tally'
-import { Losses } from '@amaranthmast/logs/losses'
+import { LossCollector } from '@amaranthmast/logs/losses'
 import { Tally } from '@amaranthmast/logs/tally'
 import type { Command } from './command.ts'
 import { ExitCode } from './exitcodes.ts'
@@ -19,7 +19,7 @@
   examples: [['$0 losses entry-*.log', 'where the service was lost, and an example of each cause for explain']],
   run: (context, { logs }) => {
     const tally = new Tally()
-    const found = new Losses(lost => tally.add(lost))
+    const found = new LossCollector(lost => tally.add(lost))
     return readLogs(context, logs, line => found.add(line)).map(unreadable => {
       found.finish()
       return { exitCode: ExitCode.Done, lines: [...report(tally, found.inTime), ...describeUnreadable(unreadable)], json: { inTime: found.inTime, lost: tally.total, byCause: tally.byCause, bySecond: tally.bySecond, byEntry: tally.byEntry, byAgent: tally.byAgent, unreadable } }
--- a/packages/daemon/src/agents.ts
+++ b/packages/daemon/src/agents.ts
@@ -1,4 +1,4 @@
-/** The entry's side of the streams that agents open. */
+/** The entry's end of the streams that agents open. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { AgentToEntry, EntryToAgent, Instance } from '@amaranthmast/coordination/messages'
 import { agentMessages, entryFrame } from '@amaranthmast/protocol/codec'
@@ -11,7 +11,7 @@
   readonly #own: Instance
   readonly #links: Links<AgentToEntry, EntryToAgent, EntryFrame>
 
-  /** @param post takes the events of all agents */
+  /** @param post receives the events of all agents */
   constructor (own: Instance, post: (event: EntryEvent) => void) {
     this.#own = own
     this.#links = new Links<AgentToEntry, EntryToAgent, EntryFrame>({
@@ -27,25 +27,25 @@
   }
 
   /**
-   * Sends a message; dropped when the agent has no link. An acknowledgement only lets the agent
-   * drop a result sooner, so it waits for company.
+   * Sends a message; it is dropped when the agent has no link. An acknowledgement only lets the agent
+   * discard a result sooner, so it is delayed until the next message or `sweep`.
    */
   send (agent: Instance, message: EntryToAgent): void {
     this.#links.send(agent, message, message.case !== 'acknowledge')
   }
 
-  /** Agents with a link. */
+  /** Number of linked agents. */
   get size (): number {
     return this.#links.size
   }
 
-  /** Sends what has waited for company, and closes links that have been silent for longer than `silence` milliseconds. */
+  /** Sends delayed messages, and closes links on which nothing has been received for longer than `timeout` milliseconds. */
   sweep (now: number, timeout: number): void {
     this.#links.flush()
     this.#links.sweep(now, timeout)
   }
 
-  /** Lets what waits leave and ends the streams in order. */
+  /** Sends the pending messages and ends the streams in order. */
   finish (): void {
     this.#links.finish()
   }
--- a/packages/daemon/src/agentservice.ts
+++ b/packages/daemon/src/agentservice.ts
@@ -36,6 +36,7 @@
 /** Time at the end of the grace period that is reserved for the exit of the process, in milliseconds. */
 const EXIT_RESERVE_MILLISECONDS = 400
 
+/** Posts the events of all adapters to one loop and executes the effects of the decision logic. */
 export class AgentService {
   readonly #options: AgentServiceOptions
   readonly #loop = new Loop<AgentEvent>()
--- a/packages/daemon/src/answers.ts
+++ b/packages/daemon/src/answers.ts
@@ -1,4 +1,4 @@
-/** How an answer looks to a caller: status code, headers and body. */
+/** Converts answers to HTTP responses for callers: status code, headers and body. */
 import type { Answer, JobKey } from '@amaranthmast/coordination/messages'
 import { AnswerKind, Cause, JobState } from '@amaranthmast/coordination/messages'
 
@@ -9,7 +9,7 @@
   body: Uint8Array
 }
 
-/** Names of the kinds in the body of an answer. */
+/** Names of the answer kinds in response bodies. */
 export const KIND_NAMES: Record<AnswerKind, string> = {
   [AnswerKind.Unspecified]: 'mayHaveRun',
   [AnswerKind.Complete]: 'complete',
@@ -18,7 +18,7 @@
   [AnswerKind.Refused]: 'refused'
 }
 
-/** Names of the causes in the body of an answer. */
+/** Names of the causes in response bodies. */
 export const CAUSE_NAMES: Record<Cause, string> = {
   [Cause.None]: 'none',
   [Cause.TaskFailed]: 'taskFailed',
@@ -55,7 +55,7 @@
   [AnswerKind.Refused]: 503
 }
 
-/** Causes with a status of their own among the refusals; the rest is 503, "come back later". */
+/** Status codes of refusals by cause. All other refusals are 503, which callers may retry. */
 const STATUS_OF_REFUSAL: Partial<Record<Cause, number>> = {
   [Cause.Malformed]: 400,
   [Cause.UnknownService]: 404,
@@ -70,7 +70,7 @@
 const MILLISECONDS_PER_SECOND = 1000
 const COMMA = Buffer.from(',')
 
-/** The response to a submission or a cancellation. */
+/** Builds the response to a submission or a cancellation. */
 export function answerResponse (job: JobKey | undefined, answer: Answer): CallerResponse {
   const headers: CallerResponse['headers'] = {}
   if (answer.retryAfterMilliseconds > 0) {
@@ -79,19 +79,19 @@
   return response(statusOf(answer), answerBody(job, answer), headers)
 }
 
-/** The response to a look-up. */
+/** Builds the response to a look-up; it contains the answer if the job has one. */
 export function lookUpResponse (job: JobKey, state: JobState, answer: Answer | undefined): CallerResponse {
   const opening = `{"state":"${STATE_NAMES[state]}"`
   if (answer === undefined) return response(200, Buffer.from(`${opening}}`), {})
   return response(200, Buffer.concat([Buffer.from(`${opening},"answer":`), answerBody(job, answer), Buffer.from('}')]), {})
 }
 
-/** A refusal of this entry's own, before the decision logic saw the request. */
+/** Builds a refusal that this entry gives before the request reaches the decision logic. */
 export function refusal (cause: Cause, detail: string, retryAfterMilliseconds = 0): Answer {
   return { kind: AnswerKind.Refused, cause, detail, results: [], retryAfterMilliseconds }
 }
 
-/** A response with a JSON body. */
+/** Builds a response with a JSON body. */
 export function response (status: number, body: Uint8Array, headers: CallerResponse['headers']): CallerResponse {
   return { status, headers: { ...headers, 'content-type': 'application/json', 'content-length': body.length }, body }
 }
@@ -113,7 +113,7 @@
   }))
 }
 
-/** The results are JSON already and go out as they came from the targets. */
+/** The results are JSON already and are copied as the targets returned them. */
 function completeBody (head: string, results: readonly Uint8Array[]): Uint8Array {
   const parts: Uint8Array[] = [Buffer.from(`${head.slice(0, -1)},"results":[`)]
   results.forEach((result, index) => {
--- a/packages/daemon/src/body.ts
+++ b/packages/daemon/src/body.ts
@@ -2,17 +2,17 @@
 import type { IncomingMessage } from 'node:http'
 import { MAX_BODY_BYTES } from './defaults.ts'
 
-/** Why there is no body. */
+/** Why a body could not be read. */
 export enum BodyFault {
-  /** It is above the limit; the rest has not been read. */
+  /** The body exceeds the limit; the rest has not been read. */
   TooLarge = 'tooLarge',
-  /** The caller went away while sending. */
+  /** The caller disconnected while sending. */
   Broken = 'broken'
 }
 
 /**
- * Reads the whole body. One that is too large is reported at once; the rest of it is read and
- * dropped, since closing the connection on a caller that still sends would lose it the response.
+ * Reads the whole body. A body that is too large is reported at once, and the rest of it is read and
+ * discarded: if the connection were closed while the caller still sends, it would not get the response.
  */
 export function readBody (request: IncomingMessage): Promise<Buffer | BodyFault> {
   if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) return Promise.resolve(BodyFault.TooLarge)
--- a/packages/daemon/src/callers.ts
+++ b/packages/daemon/src/callers.ts
@@ -33,6 +33,7 @@
   retryAfterMilliseconds: 0
 }
 
+/** Listens for callers, posts their requests as events and writes the answers. */
 export class Callers {
   readonly #server: Server
   readonly #post: (event: EntryEvent) => void
--- a/packages/daemon/src/configurationmetrics.ts
+++ b/packages/daemon/src/configurationmetrics.ts
@@ -1,11 +1,11 @@
-/** Metrics of how current the configuration of an entry is, and of what keeping it current costs. */
+/** Metrics of how current an entry's configuration is, and of the traffic that keeps it current. */
 import type { ExchangeStatus } from '@amaranthmast/configuration/exchange'
 import type { Exposition } from './exposition.ts'
 import type { CallCount } from './ports.ts'
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** @param age of the last confirmation, in milliseconds; undefined before the first */
+/** @param age time since the last confirmation, in milliseconds; undefined before the first */
 export function exposeConfiguration (exposition: Exposition, status: Readonly<ExchangeStatus>, age: number | undefined): void {
   const { version, newest, documentsSent, documentsReceived, documentsUseless, charactersSent, charactersReceived } = status
   exposition.gauge('amaranthmast_configuration_version', 'Version in force, and the newest that another entry has told of', [
--- a/packages/daemon/src/counters.ts
+++ b/packages/daemon/src/counters.ts
@@ -1,7 +1,7 @@
 /** Counters with labels. */
 import type { Labels, Sample } from './exposition.ts'
 
-/** One family of counters; each combination of labels is made when it is first counted. */
+/** One family of counters; the counter of a label combination is created when it is first incremented. */
 export class Counters<Label extends string> {
   readonly #names: readonly Label[]
   readonly #samples = new Map<string, { labels: Labels, value: number }>()
@@ -10,7 +10,7 @@
     this.#names = names
   }
 
-  /** @param values one for each label, in the order of the names */
+  /** @param values label values, in the order of the label names */
   add (values: readonly string[], amount = 1): void {
     const key = values.join('\n')
     let sample = this.#samples.get(key)
--- a/packages/daemon/src/dialer.ts
+++ b/packages/daemon/src/dialer.ts
@@ -1,22 +1,22 @@
-/** Keeps a connection to each wanted instance, with growing pauses between failures. */
+/** Keeps a connection to each of a set of instances; reconnects with exponential backoff. */
 import type { Instance } from '@amaranthmast/coordination/messages'
 import { setTimeout as pause } from 'node:timers/promises'
-import { MIN_RECONNECT_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS } from './defaults.ts'
+import { RECONNECT_BASE_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS } from './defaults.ts'
 
-/** Where an instance listens. */
+/** An instance and the address at which it listens. */
 export interface Destination {
   instance: Instance
   address: string
 }
 
 /**
- * One attempt: settles when the connection has failed or ended, and never rejects.
+ * One connection attempt: settles when the connection has failed or ended, and never rejects.
  *
- * @returns whether the connection had been up
+ * @returns whether the connection was established
  */
 export type ConnectionAttempt = (destination: Destination, signal: AbortSignal) => Promise<boolean>
 
-/** Dials what is wanted, and again when it fails or ends. */
+/** Dials each destination, and again when its connection fails or ends. */
 export class Dialer {
   readonly #attempt: ConnectionAttempt
   readonly #random: () => number
@@ -29,7 +29,7 @@
     this.#now = now
   }
 
-  /** Starts dialling what is new in the list and stops what is no longer in it. */
+  /** Starts dialling the destinations that are new in the list and stops dialling those that are no longer in it. */
   setDestinations (destinations: readonly Destination[]): void {
     const instances = new Set(destinations.map(({ instance }) => instance))
     for (const [instance, controller] of this.#destinations) {
@@ -50,16 +50,16 @@
     while (!signal.aborted) {
       const started = this.#now()
       const wasUp = await this.#attempt(destination, signal)
-      // A link that breaks as soon as it is up is a failure too, or it would be dialled without pause.
+      // A connection that breaks soon after it was established counts as a failure, or it would be dialled without backoff.
       const lasted = this.#now() - started >= MAX_RECONNECT_PAUSE_MILLISECONDS
       failures = wasUp && lasted ? 0 : failures + 1
       await pause(this.#backoff(failures), undefined, { signal }).catch(() => {})
     }
   }
 
-  /** Half of the pause is random, so that those who lost the same peer do not come back together. */
+  /** Returns the pause in milliseconds. Half of it is random, so that processes which lost the same peer do not reconnect at the same time. */
   #backoff (failures: number): number {
-    const longest = Math.min(MIN_RECONNECT_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
+    const longest = Math.min(RECONNECT_BASE_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
     return longest * (0.5 + this.#random() / 2)
   }
 }
--- a/packages/daemon/src/distribution.ts
+++ b/packages/daemon/src/distribution.ts
@@ -1,10 +1,10 @@
-/** One distribution of measured values. */
+/** Distribution of measured values, kept in a histogram. */
 import type { Histogram } from 'hdr-histogram-js'
 import Int32HistogramModule from 'hdr-histogram-js/dist/Int32Histogram.js'
 import { MAX_HISTOGRAM_VALUE } from './defaults.ts'
 import type { Labels, Summary } from './exposition.ts'
 
-/** The histograms hold whole numbers: hundredths keep short waits and small ratios apart. */
+/** Factor by which values are scaled before recording: histograms hold integers, and hundredths keep short waits and small ratios distinct. */
 const SCALE = 100
 
 const SIGNIFICANT_DIGITS = 2
@@ -12,13 +12,13 @@
 const FIRST_HIGHEST_VALUE = 2
 
 /**
- * The one class of the library that is used. Its main module also loads a compression library and
- * compiles a WebAssembly variant, which cost an idle entry megabytes. As the class comes from a
- * CommonJS module, it may stand one level deeper than its types say.
+ * Imported directly: the main module of the library also loads a compression library and compiles a
+ * WebAssembly variant, which cost an idle entry several megabytes. As the class comes from a
+ * CommonJS module, it may be nested one level deeper than its types state.
  */
 const Int32Histogram = (Int32HistogramModule as unknown as { default?: typeof Int32HistogramModule }).default ?? Int32HistogramModule
 
-/** One distribution for people and tools. */
+/** Summary of one distribution for the status page. */
 export interface DistributionFigures {
   count: number
   mean: number
@@ -38,7 +38,7 @@
     this.#sum += bounded
   }
 
-  /** @param unit divides the values */
+  /** @param unit divisor applied to the values */
   summary (labels: Labels, quantiles: readonly number[], unit: number): Summary {
     return {
       labels,
@@ -65,7 +65,7 @@
   }
 }
 
-/** A histogram starts small and grows with the values that it gets. */
+/** Creates a histogram that starts small and grows with the recorded values. */
 function newHistogram (): Histogram {
   const histogram = new Int32Histogram(LOWEST_VALUE, FIRST_HIGHEST_VALUE, SIGNIFICANT_DIGITS)
   histogram.autoResize = true
--- a/packages/daemon/src/entries.ts
+++ b/packages/daemon/src/entries.ts
@@ -1,4 +1,4 @@
-/** The agent's side of the streams to entries. */
+/** The agent's end of the streams to entries. */
 import type { AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import type { AgentToEntry, EntryToAgent } from '@amaranthmast/coordination/messages'
 import { agentFrame, entryMessages } from '@amaranthmast/protocol/codec'
@@ -13,7 +13,7 @@
 export class Entries extends DialledLinks<EntryToAgent, AgentToEntry, AgentFrame> {
   readonly #dial: LinkDial<EntryToAgent, AgentToEntry, EntryFrame, AgentFrame>
 
-  /** @param post takes the events of all entries */
+  /** @param post receives the events of all entries */
   constructor (environment: Environment, post: (event: AgentEvent) => void) {
     const links = new Links<EntryToAgent, AgentToEntry, AgentFrame>({
       connected: entry => post({ type: 'entryConnected', entry }),
--- a/packages/daemon/src/entrymetrics.ts
+++ b/packages/daemon/src/entrymetrics.ts
@@ -1,4 +1,4 @@
-/** What an entry counts of jobs and tasks. */
+/** Counters and histograms of an entry's jobs and tasks, by tenant and service. */
 import type { EntryEffect } from '@amaranthmast/coordination/entrytypes'
 import { AnswerKind } from '@amaranthmast/coordination/messages'
 import { CAUSE_NAMES, KIND_NAMES } from './answers.ts'
@@ -31,7 +31,7 @@
     this.#histograms.record(tenant, service, Measure.Run, runMilliseconds)
   }
 
-  /** Adds the metrics to a text. */
+  /** Adds the metrics to an exposition. */
   expose (exposition: Exposition): void {
     exposition.counter('amaranthmast_jobs_total', 'Jobs answered', this.#jobs.samples())
     exposition.counter('amaranthmast_tasks_total', 'Tasks ended at a target', this.#tasks.samples())
@@ -45,7 +45,7 @@
       this.#histograms.summaries(Measure.Ratio, 1))
   }
 
-  /** The distributions for people and tools. */
+  /** Returns the distributions for the status page. */
   figures (): ClassFigures[] {
     return this.#histograms.figures()
   }
--- a/packages/daemon/src/entryservice.ts
+++ b/packages/daemon/src/entryservice.ts
@@ -52,6 +52,7 @@
 /** Time at the end of the grace period that is reserved for the exit of the process, in milliseconds. */
 const EXIT_RESERVE_MILLISECONDS = 300
 
+/** Posts the events of all adapters to one loop and executes the effects of the decision logic. */
 export class EntryService {
   readonly #options: EntryServiceOptions
   readonly #loop = new Loop<EntryEvent>()
@@ -182,14 +183,14 @@
     this.#loop.post({ type: 'tick' })
     this.#gossip.tick()
     if (this.#stopOrderedAt === undefined) return
-    const stopping = this.#options.now() - this.#stopOrderedAt
-    if (stopping < BALANCER_DETECTION_MILLISECONDS) return
+    const elapsed = this.#options.now() - this.#stopOrderedAt
+    if (elapsed < BALANCER_DETECTION_MILLISECONDS) return
     this.#callers.drain()
     const { grace } = this.#options.settings.bounds
     const answered = this.#endingPosted
-    if (stopping >= grace - ANSWER_RESERVE_MILLISECONDS) this.#answerWaitingCallers()
-    const idle = this.#callers.open() === 0 && stopping >= BALANCER_DETECTION_MILLISECONDS + IDLE_CONNECTION_MILLISECONDS
-    if (idle || (answered && stopping >= grace - EXIT_RESERVE_MILLISECONDS)) this.#loop.end()
+    if (elapsed >= grace - ANSWER_RESERVE_MILLISECONDS) this.#answerWaitingCallers()
+    const idle = this.#callers.open() === 0 && elapsed >= BALANCER_DETECTION_MILLISECONDS + IDLE_CONNECTION_MILLISECONDS
+    if (idle || (answered && elapsed >= grace - EXIT_RESERVE_MILLISECONDS)) this.#loop.end()
   }
 
   /** Drops the caller's submission if it is still queued. Otherwise the disconnect is handled first in its turn, so that its tasks are stopped before any echo that would keep them alive. */
--- a/packages/daemon/src/environment.ts
+++ b/packages/daemon/src/environment.ts
@@ -1,27 +1,27 @@
-/** What a daemon takes from the process that it runs in. */
+/** What a daemon uses of the process that it runs in, and the interface that the process uses of the daemon. */
 import type { Instance } from '@amaranthmast/coordination/messages'
 import type { Logger } from './log.ts'
 
 export interface Environment {
-  /** This run of the process. */
+  /** Name of this incarnation of the process. */
   instance: Instance
   log: Logger
-  /** Clock in milliseconds that is never set back. */
+  /** Monotonic clock in milliseconds. */
   now: () => number
-  /** Milliseconds since 1970, which may be set back. */
+  /** Milliseconds since 1970; this clock may be set back. */
   wallClock: () => number
-  /** Random numbers from 0 to below 1. */
+  /** Random numbers in [0, 1). */
   random: () => number
 }
 
 /** A daemon of either role. */
 export interface Daemon {
-  /** Settles when nothing is left to do; rejects with a fault of the program. */
+  /** Settles when a planned stop is complete; rejects when the program has an internal error. */
   run: () => Promise<void>
-  /** Orders a planned stop: what is in progress ends first. */
+  /** Begins a planned stop: work in progress is finished first. */
   stop: () => void
-  /** What keeps a planned stop from ending, for the log. */
+  /** Counts of the work that a planned stop still waits for, for the log. */
   unfinished: () => Readonly<Record<string, number>>
-  /** Breaks everything off. */
+  /** Closes all listeners and connections, whatever is in progress. */
   close: () => Promise<void>
 }
--- a/packages/daemon/src/exposition.ts
+++ b/packages/daemon/src/exposition.ts
@@ -9,7 +9,7 @@
   value: number
 }
 
-/** Quantiles of one distribution. */
+/** Quantiles, sum and count of one distribution. */
 export interface Summary {
   labels: Labels
   /** Value by quantile, such as 0.99. */
@@ -21,7 +21,7 @@
 /** Content type of the text. */
 export const EXPOSITION_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 
-/** Gathers metrics into one text. */
+/** Formats metrics as one text. */
 export class Exposition {
   readonly #lines: string[] = []
 
--- a/packages/daemon/src/gossip.ts
+++ b/packages/daemon/src/gossip.ts
@@ -39,6 +39,7 @@
   now: () => number
 }
 
+/** Tracks the links to other entries, forwards agent addresses to them, and runs the configuration exchange. */
 export class Gossip {
   readonly #options: GossipOptions
   readonly #agents = new Set<string>()
--- a/packages/daemon/src/health.ts
+++ b/packages/daemon/src/health.ts
@@ -1,11 +1,11 @@
-/** Health and readiness, for balancers and supervisors. */
+/** Health and readiness endpoints for balancers and supervisors. */
 import type { ServerResponse } from 'node:http'
 
-/** What the endpoints answer from. */
+/** State that the endpoints report. */
 export interface HealthCheck {
   /** Whether new work may be sent here. */
   ready: () => boolean
-  /** Life state of the daemon, as text. */
+  /** Lifecycle state of the daemon, as text. */
   state: () => string
 }
 
--- a/packages/daemon/src/histograms.ts
+++ b/packages/daemon/src/histograms.ts
@@ -1,25 +1,25 @@
-/** Distributions for each tenant and service. */
+/** Distributions by tenant and service. */
 import type { DistributionFigures } from './distribution.ts'
 import type { Summary } from './exposition.ts'
 import { MAX_HISTOGRAM_CLASSES } from './defaults.ts'
 import { Distribution } from './distribution.ts'
 
-/** What is measured of a class of work. */
+/** Measurements of a class of work, that is of a tenant and a service. */
 export enum Measure {
-  /** From the arrival of the job until its task went out, in milliseconds. */
+  /** Time from the arrival of the job until its task was sent, in milliseconds. */
   Wait = 'wait',
   /** Run time of a task at its target, in milliseconds. */
   Run = 'run',
-  /** From the arrival of a job until its answer, in milliseconds. */
+  /** Time from the arrival of a job until its answer, in milliseconds. */
   Whole = 'whole',
-  /** Whole time of a complete job, in parts of the run time of its longest task. */
+  /** Total time of a complete job divided by the run time of its longest task. */
   Ratio = 'ratio'
 }
 
-/** Quantiles that are shown. */
+/** Quantiles that the metrics expose. */
 export const QUANTILES = [0.5, 0.9, 0.99]
 
-/** Name of the class that takes what exceeds the bound on classes. */
+/** Tenant and service of the class that records everything beyond the maximum number of classes. */
 const OVERFLOW_CLASS = 'others'
 
 interface WorkClass {
@@ -28,7 +28,7 @@
   distributions: Partial<Record<Measure, Distribution>>
 }
 
-/** The figures of one class. */
+/** Summaries of one class of work. */
 export interface ClassFigures {
   tenant: string
   service: string
@@ -44,7 +44,7 @@
     distribution.record(value)
   }
 
-  /** Summaries of one measure, divided by `unit`. */
+  /** Returns the summaries of one measure; values are divided by `unit`. */
   summaries (measure: Measure, unit: number): Summary[] {
     const summaries: Summary[] = []
     for (const { tenant, service, distributions } of this.#classes.values()) {
@@ -54,7 +54,7 @@
     return summaries
   }
 
-  /** Every class with what has been recorded. */
+  /** Returns every class with its recorded measures. */
   figures (): ClassFigures[] {
     return [...this.#classes.values()].map(({ tenant, service, distributions }) => ({
       tenant,
@@ -63,7 +63,7 @@
     }))
   }
 
-  /** Callers choose the names: without a bound on classes they could fill the memory. */
+  /** Returns the class of a tenant and service. Callers choose these names, so the number of classes is bounded to bound memory. */
   #class (tenant: string, service: string): WorkClass {
     const key = `${tenant}/${service}`
     const known = this.#classes.get(key)
--- a/packages/daemon/src/innerclient.ts
+++ b/packages/daemon/src/innerclient.ts
@@ -1,4 +1,4 @@
-/** The dialling end of the inner protocol. */
+/** Client of the inner protocol. */
 import type { Instance } from '@amaranthmast/coordination/messages'
 import { Inner } from '@amaranthmast/protocol/inner_pb'
 import type { CallOptions, Client } from '@connectrpc/connect'
@@ -12,19 +12,19 @@
 
 /** How a stream ended. */
 export interface StreamEnd {
-  /** It had been up. */
+  /** Whether the stream was established. */
   wasUp: boolean
-  /** The instance listens no longer: its address refused a connection, or another instance has it. */
+  /** Whether the instance no longer listens: its address refused the connection, or another instance listens there. */
   refused: boolean
   /** Why it ended, for the log. */
   reason: string
 }
 
-/** One of the streams of the service. */
+/** Opens one of the streams of the service. */
 export type OpenStream<OutFrame, InFrame> =
   (client: Client<typeof Inner>, frames: AsyncIterable<OutFrame>, options: CallOptions) => AsyncIterable<InFrame>
 
-/** What a dialling end needs to run a stream as a link. */
+/** What the client needs to run a stream as a link. */
 export interface LinkDial<In, Out, InFrame, OutFrame> {
   links: Links<In, Out, OutFrame>
   /** The instance of this process. */
@@ -51,7 +51,7 @@
   return end
 }
 
-/** Asks whether the instance is still there, without a link. Never rejects. */
+/** Checks whether the instance still listens, without opening a link. Never rejects. */
 export async function probe<In, Out, InFrame, OutFrame> (
   dial: LinkDial<In, Out, InFrame, OutFrame>, destination: Destination, signal: AbortSignal
 ): Promise<StreamEnd> {
@@ -94,7 +94,7 @@
   }))
 }
 
-/** A session of its own for each stream: a connection that died unnoticed is never used again. */
+/** Creates a session for one stream. Streams do not share sessions, so that a connection whose loss went undetected is never reused. */
 function sessionManager (address: string): Http2SessionManager {
   return new Http2SessionManager(address, {}, { maxSessionMemory: SESSION_MEMORY_MEGABYTES })
 }
--- a/packages/daemon/src/innerlistener.ts
+++ b/packages/daemon/src/innerlistener.ts
@@ -1,4 +1,4 @@
-/** The listener of the inner protocol: HTTP/2 in clear text, on entries only. */
+/** Server of the inner protocol: HTTP/2 in clear text, on entries only. */
 import { Inner } from '@amaranthmast/protocol/inner_pb'
 import type { HandlerContext, ServiceImpl } from '@connectrpc/connect'
 import { Code, ConnectError, createContextKey, createContextValues } from '@connectrpc/connect'
@@ -13,13 +13,13 @@
 import { listen } from './listen.ts'
 import type { Links } from './links.ts'
 
-/** Header with the instance that dials. */
+/** Header with the instance of the dialling process. */
 export const INSTANCE_HEADER = 'amaranthmast-instance'
 
-/** Header with the instance that the dialling end means to reach. */
+/** Header with the instance that the dialling process expects to reach. */
 export const EXPECTED_HEADER = 'amaranthmast-expected'
 
-/** Header of a stream that only asks whether the expected instance is there. */
+/** Header of a stream that only checks whether the expected instance listens here. */
 export const PROBE_HEADER = 'amaranthmast-probe'
 
 const requestKey = createContextKey<Http2ServerRequest | IncomingMessage | undefined>(undefined)
@@ -41,12 +41,12 @@
     this.#server.on('session', session => this.#track(session))
   }
 
-  /** Port that it listens on. */
+  /** Starts to listen and returns the port. */
   listen (host: string, port: number): ResultAsync<number, ListenError> {
     return listen(this.#server, host, port)
   }
 
-  /** Stops listening and breaks off what is still connected. */
+  /** Stops listening and destroys the open connections. */
   close (): void {
     this.#server.close()
     for (const session of this.#sessions) session.destroy()
@@ -92,15 +92,15 @@
   try {
     for await (const frame of requests) link.receive(messagesOf(frame))
   } catch {
-    // Whatever broke the stream, what follows from it is the same: the link is gone.
+    // The link is closed whatever the error.
   } finally {
     link.close()
   }
 }
 
 /**
- * The instance that dials. A dialling end that expects another instance here is told so: the
- * process that it looks for listened at this address and no longer does.
+ * Returns the instance of the dialling process. Throws `FailedPrecondition` when that process expects
+ * another instance here: the expected one listened at this address and no longer does.
  */
 function callingInstance (context: HandlerContext, own: Instance): Instance {
   const instance = context.requestHeader.get(INSTANCE_HEADER)
@@ -110,7 +110,7 @@
   return instance
 }
 
-/** Ends a stream whose other end may have stopped reading: ending it in order could wait for ever. */
+/** Resets a stream. Its other end may have stopped reading, so that ending it in order could take forever. */
 function reset (context: HandlerContext): void {
   const request = context.values.get(requestKey)
   if (request !== undefined && 'stream' in request) request.stream.close(constants.NGHTTP2_CANCEL)
--- a/packages/daemon/src/jobs.ts
+++ b/packages/daemon/src/jobs.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request body as a job. The checks are written out: every request passes here. */
+/** Parses a caller's request body as a job. The checks are written by hand because every request passes through them. */
 import type { Job, JobKey, TaskNeeds, TaskRequest } from '@amaranthmast/coordination/messages'
 import { Cause } from '@amaranthmast/coordination/messages'
 import type { Result } from 'neverthrow'
@@ -9,7 +9,7 @@
   MAX_RUN_MILLISECONDS, MAX_TASKS
 } from './defaults.ts'
 
-/** A request that cannot be taken as a job: nothing of it has run. */
+/** The request is not a valid job; nothing of it has run. */
 export class JobError extends Error {
   readonly code: Cause.Malformed | Cause.TooLarge
 
@@ -27,12 +27,12 @@
 const NEEDS_FIELDS = new Set(['accelerators', 'memoryMegabytes'])
 const NO_NEEDS: TaskNeeds = { accelerators: 0, memoryMegabytes: 0 }
 
-/** Identity of a job: the caller's job id within its tenant. */
+/** Returns the identity of a job: the caller's job id within its tenant. */
 export function jobKey (tenant: string, job: string): JobKey {
   return `${tenant}/${job}`
 }
 
-/** Reads a request body. */
+/** Parses a request body. */
 export function parseJob (body: Uint8Array): Result<Job, JobError> {
   try {
     return ok(readJob(parseBody(body)))
@@ -43,7 +43,7 @@
 }
 
 function readJob (fields: Fields): Job {
-  checkNames(fields, JOB_FIELDS, '')
+  rejectUnknownFields(fields, JOB_FIELDS, '')
   const tenant = readId(fields, 'tenant')
   const service = readId(fields, 'service')
   const repeatable = readBoolean(fields, 'repeatable')
@@ -79,7 +79,7 @@
 
 function readTask (value: unknown, path: string): TaskRequest {
   const fields = asObject(value, path)
-  checkNames(fields, TASK_FIELDS, `${path}.`)
+  rejectUnknownFields(fields, TASK_FIELDS, `${path}.`)
   if (!('payload' in fields)) throw malformed(`"${path}.payload" is missing: give any JSON value`)
   return {
     payload: Buffer.from(JSON.stringify(fields.payload)),
@@ -91,10 +91,10 @@
 function readNeeds (value: unknown, path: string): TaskNeeds {
   if (value === undefined) return NO_NEEDS
   const fields = asObject(value, path)
-  checkNames(fields, NEEDS_FIELDS, `${path}.`)
+  rejectUnknownFields(fields, NEEDS_FIELDS, `${path}.`)
   return {
-    accelerators: readWhole(fields, 'accelerators', `${path}.`),
-    memoryMegabytes: readWhole(fields, 'memoryMegabytes', `${path}.`)
+    accelerators: readInteger(fields, 'accelerators', `${path}.`),
+    memoryMegabytes: readInteger(fields, 'memoryMegabytes', `${path}.`)
   }
 }
 
@@ -110,13 +110,13 @@
   throw malformed(`"${name}" must be true or false`)
 }
 
-function readNumber (fields: Fields, name: string, path: string, least: number, most: number, absent: number): number {
-  const value = fields[name] ?? absent
-  if (typeof value === 'number' && value >= least && value <= most) return value
-  throw malformed(`"${path}${name}" must be a number from ${least} to ${most}`)
+function readNumber (fields: Fields, name: string, path: string, min: number, max: number, fallback: number): number {
+  const value = fields[name] ?? fallback
+  if (typeof value === 'number' && value >= min && value <= max) return value
+  throw malformed(`"${path}${name}" must be a number from ${min} to ${max}`)
 }
 
-function readWhole (fields: Fields, name: string, path: string): number {
+function readInteger (fields: Fields, name: string, path: string): number {
   const value = readNumber(fields, name, path, 0, MAX_NEED, 0)
   if (Number.isInteger(value)) return value
   throw malformed(`"${path}${name}" must be a whole number`)
@@ -127,8 +127,8 @@
   throw malformed(`${path} must be a JSON object`)
 }
 
-/** A misspelt field would silently leave its default in force, so unknown ones are refused. */
-function checkNames (fields: Fields, known: ReadonlySet<string>, path: string): void {
+/** Refuses unknown fields: a misspelt field would otherwise leave its default in force unnoticed. */
+function rejectUnknownFields (fields: Fields, known: ReadonlySet<string>, path: string): void {
   for (const name of Object.keys(fields)) {
     if (!known.has(name)) throw malformed(`"${path}${name}" is not a field: use ${[...known].join(', ')}`)
   }
@@ -138,7 +138,7 @@
   return new JobError(Cause.Malformed, message)
 }
 
-/** Covers what decides the outcome; deadline and lodging time may differ when a job is sent again. */
+/** Digest of the fields that determine the outcome. Deadline and lodging time are left out, as they may differ when a job is sent again. */
 function digestOf (tenant: string, service: string, repeatable: boolean, tasks: readonly TaskRequest[]): string {
   const hash = createHash('sha256')
   hash.update(`${tenant}\n${service}\n${repeatable}\n`)
--- a/packages/daemon/src/linebudget.ts
+++ b/packages/daemon/src/linebudget.ts
@@ -1,7 +1,8 @@
-/** How many lines of one class may be written. */
+/** Rate limit for the log lines of one class. */
 
 const MILLISECONDS_PER_SECOND = 1000
 
+/** Token bucket with one token for each line. */
 export class LineBudget {
   readonly #perSecond: number
   readonly #burst: number
@@ -9,8 +10,8 @@
   #refilledAt: number
 
   /**
-   * @param perSecond lines in a second
-   * @param burst lines that may be written at once after a quiet time
+   * @param perSecond lines per second
+   * @param burst maximum number of lines that may be written at once after an idle time
    * @param now time in milliseconds
    */
   constructor (perSecond: number, burst: number, now: number) {
@@ -20,7 +21,7 @@
     this.#refilledAt = now
   }
 
-  /** Takes a line from the budget; false when nothing is left of it. */
+  /** Takes one line from the budget; returns false when the budget is used up. */
   take (now: number): boolean {
     this.#tokens = Math.min(this.#burst, this.#tokens + (now - this.#refilledAt) * this.#perSecond / MILLISECONDS_PER_SECOND)
     this.#refilledAt = now
--- a/packages/daemon/src/lineclass.ts
+++ b/packages/daemon/src/lineclass.ts
@@ -1,10 +1,10 @@
-/** Which lines of the log of decisions are routine, and which tell that something changed. */
+/** Classifies the lines of the decision log as routine lines or as reports of a change. */
 import { Cause, Outcome } from '@amaranthmast/dispatch/messages'
 
 export enum LineClass {
-  /** There are as many as jobs, tasks, requests or messages: under load they are many. */
+  /** Written once for each job, task, request or message, so that there are many under load. */
   Routine = 'routine',
-  /** A change of what the process believes, or a run that did not end as it should. */
+  /** Reports a change of the process's state, or a run that did not end as expected. */
   Change = 'change'
 }
 
@@ -20,10 +20,10 @@
   'message of an unknown kind ignored'
 ])
 
-/** There are as many as there are callers who want the same room. */
+/** A full target causes one line for each caller that competes for its capacity. */
 const ROUTINE_CAUSES: ReadonlySet<unknown> = new Set([Cause.Full])
 
-/** The target has listed the end of the run: there are as many as a queue has tasks that fail by themselves. */
+/** The target has reported the end of the run: a queue whose tasks fail by themselves causes one line for each. */
 const ROUTINE_OUTCOMES: ReadonlySet<unknown> = new Set([Outcome.Failed])
 
 export function lineClassOf (what: string, fields: Readonly<Record<string, unknown>>): LineClass {
--- a/packages/daemon/src/lineoutput.ts
+++ b/packages/daemon/src/lineoutput.ts
@@ -1,7 +1,7 @@
-/** Where lines of the log leave the process: written together, and dropped when their reader does not read. */
+/** Buffered output of log lines. Lines are written in batches, and dropped when the reader does not read. */
 import { destination } from 'pino'
 
-/** Bytes that are written together. */
+/** Number of bytes that are written together. */
 const WRITE_BYTES = 4096
 
 type Destination = ReturnType<typeof destination>
@@ -11,9 +11,9 @@
   #pendingCharacters = 0
 
   /**
-   * @param descriptor of the file that is written to
-   * @param limit bytes that may wait for the reader
-   * @param dropped is told of each line beyond that
+   * @param descriptor file descriptor to write to
+   * @param limit maximum number of bytes buffered for the reader
+   * @param dropped called for each line that is dropped beyond the limit
    */
   constructor (descriptor: number, limit: number, dropped: () => void) {
     this.#out = destination({ dest: descriptor, sync: false, minLength: WRITE_BYTES, maxLength: limit })
@@ -24,7 +24,7 @@
     this.#out.on('write', (bytes: number) => { this.#pendingCharacters = Math.max(0, this.#pendingCharacters - bytes) })
   }
 
-  /** Characters that wait to be written. */
+  /** Number of buffered characters. */
   get waiting (): number {
     return this.#pendingCharacters
   }
@@ -38,7 +38,7 @@
     this.#out.flush()
   }
 
-  /** Writes out what waits, however long that takes. */
+  /** Writes all buffered lines and blocks until that is done. */
   flushSync (): void {
     this.#out.flushSync()
   }
--- a/packages/daemon/src/listen.ts
+++ b/packages/daemon/src/listen.ts
@@ -1,8 +1,8 @@
-/** Starting to listen, as a result instead of an event. */
+/** Starts a listener and returns a result instead of emitting events. */
 import { ResultAsync } from 'neverthrow'
 import type { AddressInfo, Server } from 'node:net'
 
-/** A listener could not be started. */
+/** The listener could not be started. */
 export class ListenError extends Error {
   readonly code = 'cannotListen'
 
@@ -16,7 +16,7 @@
  * Starts to listen.
  *
  * @param port 0 for any free port
- * @returns the port
+ * @returns the port that the server listens on
  */
 export function listen (server: Server, host: string, port: number): ResultAsync<number, ListenError> {
   return ResultAsync.fromPromise(listening(server, host, port), reason => new ListenError(host, port, reason))
--- a/packages/daemon/src/looplag.ts
+++ b/packages/daemon/src/looplag.ts
@@ -1,45 +1,45 @@
-/** How late turns of the event loop are, measured by the ticks of the process's one timer. */
+/** Measures the delay of event loop turns by the ticks of the process's timer. */
 import type { Exposition } from './exposition.ts'
 import type { LogDecision } from './ports.ts'
 import { TIMER_MARGIN_MILLISECONDS } from '@amaranthmast/dispatch/defaults'
 import { Distribution } from './distribution.ts'
 
-/** Between two lines on late turns, in milliseconds. */
+/** Minimum time between two log lines on late turns, in milliseconds. */
 const REPORT_INTERVAL_MILLISECONDS = 1000
 
-/** Quantiles that are shown; 1 is the latest turn. */
+/** Quantiles that the metrics expose; 1 is the maximum. */
 const QUANTILES = [0.5, 0.9, 0.99, 1]
 
 const MILLISECONDS_PER_SECOND = 1000
 
 export interface LoopLagOptions {
-  /** A turn later than this is noted, in milliseconds. */
+  /** A turn that is later than this is logged, in milliseconds. */
   threshold: number
-  /** Clock in milliseconds that is never set back. */
+  /** Monotonic clock in milliseconds. */
   now: () => number
   note: LogDecision
 }
 
-/** Late turns that no line has told of yet. */
+/** Late turns that have not been logged yet. */
 interface LateTurns {
   count: number
-  /** The latest of them, in milliseconds. */
+  /** Maximum delay among them, in milliseconds. */
   late: number
-  /** Interval of ticks at that turn, in milliseconds. */
+  /** Interval of the ticks at the turn with the maximum delay, in milliseconds. */
   interval: number
   at: number
 }
 
 /**
- * Lateness that the limits of `timings.ts` leave room for, in milliseconds: each sets aside the time of a stop and the margin for timers.
+ * Returns the delay that the limits in `timings.ts` tolerate, in milliseconds: each of them reserves the time of a stop and the margin for timers.
  *
- * @param stop longest time of a stop of a task, in milliseconds
+ * @param stop maximum time to stop a task, in milliseconds
  */
 export function lateTurnThreshold (stop: number): number {
   return stop + TIMER_MARGIN_MILLISECONDS
 }
 
-/** A pause of the process shows as its length less up to the interval of the ticks: where in the interval it began is not known. */
+/** Records the delay of ticks. A pause of the process is measured short by up to one tick interval, as it may have begun anywhere within it. */
 export class LoopLag {
   readonly #options: LoopLagOptions
   readonly #distribution = new Distribution()
@@ -53,13 +53,13 @@
     this.#options = options
   }
 
-  /** The next tick is due `interval` milliseconds after the last one; the first one after this call. */
+  /** Sets when the next tick is due: `interval` milliseconds after the last tick, or after this call for the first one. */
   expect (interval: number): void {
     if (Number.isNaN(this.#tickedAt)) this.#tickedAt = this.#options.now()
     this.#interval = interval
   }
 
-  /** A tick has come. */
+  /** Records a tick. */
   ticked (): void {
     const now = this.#options.now()
     const late = Math.max(0, now - this.#tickedAt - this.#interval)
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -45,7 +45,7 @@
 }
 
 async function start (path: string, checkOnly: boolean): Promise<number> {
-  // Loaded here, so that --help and --version do without the schema library.
+  // Imported dynamically, so that --help and --version do not load the schema library.
   const { readSettings } = await import('@amaranthmast/settings/settings')
   const settings = readSettings(path)
   if (settings.isErr()) return printError(settings.error.message)
@@ -76,7 +76,7 @@
   }
 }
 
-/** Each role loads its own modules only. */
+/** Creates the daemon of the configured role. Each role imports only its own modules. */
 async function newDaemon (settings: Settings, environment: Environment): Promise<Startable> {
   if (settings.role === Role.Agent) {
     const { AgentDaemon } = await import('./agentdaemon.ts')
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,10 +1,10 @@
-/** What both roles count. */
+/** Metrics of both roles. */
 import { Counters } from './counters.ts'
 import { Exposition } from './exposition.ts'
 
 const MICROSECONDS_PER_SECOND = 1_000_000
 
-/** Which way a message went. */
+/** Direction of a message. */
 export enum Direction {
   Sent = 'sent',
   Received = 'received'
@@ -23,7 +23,7 @@
     this.#messages.add([link, direction, kind])
   }
 
-  /** Adds the metrics of the process to a text. */
+  /** Adds the metrics of the process to an exposition. */
   expose (exposition: Exposition, state: string, sizes: Readonly<Record<string, number>>): void {
     const { user, system } = process.cpuUsage()
     exposition.gauge('amaranthmast_state', 'Life state of the daemon', [{ labels: { state }, value: 1 }])
--- a/packages/daemon/src/metricslistener.ts
+++ b/packages/daemon/src/metricslistener.ts
@@ -1,4 +1,4 @@
-/** Serves the metrics. */
+/** HTTP listener for the metrics. */
 import type { Logger } from 'pino'
 import type { Server } from 'node:http'
 import { createServer } from 'node:http'
@@ -16,7 +16,7 @@
     })
   }
 
-  /** A process without metrics still serves: a failure is logged. */
+  /** Starts to listen. A failure is only logged, as the process can serve without metrics. */
   listen (host: string, port: number): void {
     this.#server.on('error', error => this.#log.error({ host, port, reason: error.message }, 'no metrics listener'))
     this.#server.listen(port, host)
--- a/packages/daemon/src/outbox.ts
+++ b/packages/daemon/src/outbox.ts
@@ -1,9 +1,9 @@
-/** What waits to be sent over one link: everything of one turn leaves as one frame. */
+/** Queue of the messages to be sent over one link; those of one turn are sent as one frame. */
 import { MAX_FRAME_MESSAGES, MAX_OUTBOX_MESSAGES } from './defaults.ts'
 
 /**
- * Messages for one peer, read as frames by the transport. While the transport is busy, messages
- * gather and leave together, so that a slow peer gets fewer, larger frames.
+ * Messages for one peer, which the transport reads as frames. Messages that are added while the
+ * transport is busy are sent together, so that a slow peer gets fewer and larger frames.
  */
 export class Outbox<Message, Frame> {
   readonly #toFrame: (messages: readonly Message[]) => Frame
@@ -16,10 +16,10 @@
   }
 
   /**
-   * Adds a message. One that is not urgent leaves with the next urgent one, or at the next
-   * `flush`: order is kept, and a frame is saved, which costs more than the message in it.
+   * Adds a message. One that is not urgent is sent with the next urgent one, or at the next
+   * `flush`. This keeps the order and saves a frame, which costs more than the message in it.
    *
-   * @returns false when the peer has not read for so long that the outbox is full
+   * @returns false when the outbox is full because the peer has stopped reading
    */
   push (message: Message, urgent = true): boolean {
     if (this.#ended) return true
@@ -29,20 +29,20 @@
     return true
   }
 
-  /** Lets leave what waits for an urgent message. */
+  /** Sends the messages that are delayed until an urgent one. */
   flush (): void {
     if (this.#messages.length > 0) this.#wake?.()
   }
 
-  /** Ends the frames after what waits now has been read. */
+  /** Ends the frames once the messages queued so far have been read. */
   end (): void {
     this.#ended = true
     this.#wake?.()
   }
 
   /**
-   * The frames, starting with an empty one: the transport sends its headers only together with a
-   * first frame, and the other end takes them as the sign that the link is up.
+   * Yields the frames, starting with an empty one: the transport sends its headers only together with
+   * a first frame, and the other end considers the link established when it receives them.
    */
   async * frames (): AsyncGenerator<Frame> {
     yield this.#toFrame([])
--- a/packages/daemon/src/peers.ts
+++ b/packages/daemon/src/peers.ts
@@ -1,4 +1,4 @@
-/** The streams between entries: one for each pair, opened by the greater instance. */
+/** The streams between entries: one for each pair, opened by the instance with the greater name. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { Instance, PeerMessage } from '@amaranthmast/coordination/messages'
 import { peerFrame, peerMessages } from '@amaranthmast/protocol/codec'
@@ -18,7 +18,7 @@
   readonly #links: Links<PeerMessage, PeerMessage, PeerFrame>
   readonly #dial: LinkDial<PeerMessage, PeerMessage, PeerFrame, PeerFrame>
 
-  /** @param post takes the events of all peers */
+  /** @param post receives the events of all peers */
   constructor (environment: Environment, post: (event: EntryEvent) => void) {
     const links = new Links<PeerMessage, PeerMessage, PeerFrame>({
       connected: peer => post({ type: 'peerConnected', peer }),
@@ -33,7 +33,7 @@
     this.#dial = { links, own, open: (client, frames, options) => client.peer(frames, options), messagesOf: peerMessages, log }
   }
 
-  /** Serves the stream of a peer that has dialled. */
+  /** Serves a stream that a peer has opened. */
   serve (frames: AsyncIterable<PeerFrame>, context: HandlerContext): AsyncIterable<PeerFrame> {
     return serveLink(this.#links, this.#own, frames, context, peerMessages)
   }
@@ -43,21 +43,22 @@
   }
 
   protected override async attempt (destination: Destination, signal: AbortSignal): Promise<boolean> {
-    if (this.#own > destination.instance) return await this.#open(destination, signal)
-    return await this.#watch(destination, signal)
+    if (this.#own > destination.instance) return await this.#dialPeer(destination, signal)
+    return await this.#probeAfterLoss(destination, signal)
   }
 
-  async #open (destination: Destination, signal: AbortSignal): Promise<boolean> {
+  async #dialPeer (destination: Destination, signal: AbortSignal): Promise<boolean> {
     const { wasUp, refused } = await dialLink(this.#dial, destination, signal)
     if (refused) this.#reportRefused(destination.instance)
     return wasUp
   }
 
   /**
-   * The end that is dialled learns of a dead peer only by a broken stream, which proves nothing:
-   * it asks at the peer's own address, so that a refusal there is known at both ends.
+   * Waits until the peer's link is closed, then probes the peer's address. A broken stream does not
+   * prove that the peer has ended; only a refusal at its address does, and the end that does not
+   * dial detects it by the probe.
    */
-  async #watch (destination: Destination, signal: AbortSignal): Promise<boolean> {
+  async #probeAfterLoss (destination: Destination, signal: AbortSignal): Promise<boolean> {
     const link = this.#links.get(destination.instance)
     if (link !== undefined) await Promise.race([link.closed, aborted(signal)])
     const { wasUp, refused } = await probe(this.#dial, destination, signal)
--- a/packages/daemon/src/processmetrics.ts
+++ b/packages/daemon/src/processmetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics that the processes of both roles have of themselves. */
+/** Metrics of the process itself, for both roles. */
 import type { DroppedLines } from './decisionlog.ts'
 import type { Exposition } from './exposition.ts'
 
--- a/packages/daemon/src/seeds.ts
+++ b/packages/daemon/src/seeds.ts
@@ -1,7 +1,7 @@
 /**
- * Views from entries that an agent's settings name, for when the key-value service cannot be read.
- * What such an entry says is taken as the view of any entry is: an old one sends the agent to
- * entries that know a newer one, and it takes no work before every member of its view has answered.
+ * Requests the view from the entries in an agent's settings when the key-value service cannot be read.
+ * Such a view is handled as one from any other entry: an old view leads the agent to entries that
+ * have a newer one, and the agent accepts no work before every member of its view has answered.
  */
 import type { Instance, View } from '@amaranthmast/coordination/messages'
 import { agentFrame, entryFrame, entryMessages } from '@amaranthmast/protocol/codec'
@@ -11,22 +11,22 @@
 import type { OpenStream } from './innerclient.ts'
 import { runStream } from './innerclient.ts'
 
-/** Header of an agent's stream that only asks for the view, of whichever entry listens there. */
+/** Header of an agent's stream that only requests the view, from whichever entry listens at the address. */
 const SEED_HEADER = 'amaranthmast-seed'
 
 const openStream: OpenStream<AgentFrame, EntryFrame> = (client, frames, options) => client.agent(frames, options)
 
-/** Whether a stream only asks for the view. */
+/** Returns whether a stream only requests the view. */
 export function isViewRequest (context: HandlerContext): boolean {
   return context.requestHeader.has(SEED_HEADER)
 }
 
-/** Answers such a stream: one greeting, and the end. */
+/** Answers a view request with one `hello` message and ends the stream. */
 export async function * sendView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
   yield entryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
 }
 
-/** The entries that an agent may ask. */
+/** The entries from which an agent may request the view. */
 export class Seeds {
   readonly #environment: Environment
   readonly #addresses: readonly string[]
@@ -40,8 +40,8 @@
   }
 
   /**
-   * The view of the first that answers, beginning with any of them, so that agents which start
-   * together do not all ask the same. Undefined when none does, or while another call asks.
+   * Returns the view of the first entry that answers. The first one tried is random, so that agents which
+   * start together do not all ask the same entry. Undefined when none answers, or while another call is in progress.
    */
   async view (): Promise<View | undefined> {
     if (this.#requesting) return undefined
@@ -54,7 +54,7 @@
     return view
   }
 
-  /** Asks no more. */
+  /** Aborts the request in progress. */
   stop (): void {
     this.#stopped.abort()
   }
@@ -77,7 +77,7 @@
   yield agentFrame([])
 }
 
-/** An entry that has not joined yet has nothing to tell. */
+/** Returns the view in a frame; undefined when the entry has not joined yet and its view is empty. */
 function viewOf (frame: EntryFrame): View | undefined {
   const views = entryMessages(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
   return views.find(({ members }) => members.length > 0)
--- a/packages/daemon/src/status.ts
+++ b/packages/daemon/src/status.ts
@@ -1,4 +1,4 @@
-/** The status port of both roles: health, readiness, metrics, and the state for the tool. */
+/** The status port of both roles: health, readiness, metrics, and the state for the command-line tool. */
 import type { ResultAsync } from 'neverthrow'
 import type { Server, ServerResponse } from 'node:http'
 import { createServer } from 'node:http'
@@ -8,11 +8,11 @@
 import type { ListenError } from './listen.ts'
 import { listen } from './listen.ts'
 
-/** Where the status port takes its answers from. */
+/** Source of the pages of the status port. */
 export interface StatusSource extends HealthCheck {
   /** Metrics in the text format that monitoring systems scrape. */
   metrics: () => string
-  /** State for the tool; anything that JSON can hold. */
+  /** State for the command-line tool; any JSON value. */
   status: () => unknown
 }
 
@@ -36,7 +36,7 @@
     })
   }
 
-  /** Port that it listens on. */
+  /** Starts to listen and returns the port. */
   listen (host: string, port: number): ResultAsync<number, ListenError> {
     return listen(this.#server, host, port)
   }
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -1,4 +1,4 @@
-/** An entry's use of the key-value service: the view, the configuration, and where its status is found. */
+/** An entry's access to the key-value service: the view, the configuration, and the address of its status port. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { View } from '@amaranthmast/coordination/messages'
 import { Watcher } from '@amaranthmast/store/watcher'
@@ -11,7 +11,7 @@
 import type { StoreOptions } from './viewreader.ts'
 import { ViewReader } from './viewreader.ts'
 
-/** What an entry does at the store. */
+/** Watches the view and the configuration, writes the view, and publishes the entry's status address. */
 export class EntryStore {
   readonly #options: StoreOptions
   readonly #post: (event: EntryEvent) => void
@@ -29,7 +29,7 @@
         ...watch,
         key: viewKey(options.settings.prefix),
         rereadMilliseconds: VIEW_POLL_MILLISECONDS,
-        // A watched value has no time at which the store confirmed it, so it is read.
+        // A watched value has no time at which the store confirmed it, so the view is read again.
         onChange: () => { this.readView() }
       }),
       new Watcher({
@@ -41,14 +41,14 @@
     ]
   }
 
-  /** Begins to watch the view and the configuration; both are read at once. */
+  /** Starts to watch the view and the configuration; both are read at once. */
   start (): void {
     for (const watcher of this.#watchers) watcher.start()
   }
 
   /**
-   * Publishes where this entry's status is found. The store may be down at the start, while the
-   * entry serves with what its peers tell it: the write is tried until it succeeds, once.
+   * Publishes the address of this entry's status port. The store may be down when the entry starts and
+   * serves with the state of its peers, so the write is retried until it has succeeded once.
    *
    * @param retryMilliseconds mean pause after a failure
    */
@@ -67,9 +67,9 @@
 
   /**
    * Replaces the view if it is still at the given revision. When the answer is lost, the view is
-   * read back: the own value there settles that the write took effect, and any other revision
-   * than the expected one that it can never take effect. The expected revision itself settles
-   * nothing, since the write may still be on its way.
+   * read back. If it holds the written value, the write took effect. If it has another value at a
+   * revision other than the expected one, the write can never take effect. The expected revision
+   * itself proves nothing, since the write may still be in transit.
    */
   async writeView (view: View, expectedRevision: number): Promise<void> {
     const value = encodeView(view)
@@ -81,7 +81,7 @@
     this.#written(encodeView(readBack.view) === value ? 'applied' : 'conflict')
   }
 
-  /** Ends the watches and what is being tried again. */
+  /** Ends the watches and the retries. */
   stop (): void {
     this.#stopped.abort()
     for (const watcher of this.#watchers) watcher.stop()
@@ -94,7 +94,7 @@
   #takeConfiguration (value: string): void {
     const result = readStoredConfiguration(Buffer.from(value))
     if (result.isErr()) {
-      this.#options.log.error({ reason: result.error.message }, 'the stored configuration is refused, the one in force stays')
+      this.#options.log.error({ reason: result.error.message }, 'stored configuration rejected, keeping the one in force')
       return
     }
     this.#post({ type: 'configurationRead', ...result.value })
--- a/packages/daemon/src/supervise.ts
+++ b/packages/daemon/src/supervise.ts
@@ -1,4 +1,4 @@
-/** Runs a daemon until it is stopped by a signal, or by a fault. */
+/** Runs a daemon until it is stopped by a signal or fails with an internal error. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { MAX_STOP_MILLISECONDS } from './defaults.ts'
 import type { Daemon } from './environment.ts'
@@ -8,9 +8,9 @@
 
 /** Why a daemon ended. */
 enum End {
-  /** Nothing was left to do. */
+  /** A planned stop was completed. */
   Stopped = 'stopped',
-  /** A second signal came, or a planned stop took too long. */
+  /** A second signal was received, or a planned stop took too long. */
   CutShort = 'cutShort',
   Fault = 'fault'
 }
@@ -18,10 +18,10 @@
 const EXIT_CODES: Record<End, number> = { [End.Stopped]: 0, [End.CutShort]: 1, [End.Fault]: 1 }
 
 /**
- * Runs a daemon. The first signal orders a planned stop; a second one, or the time limit, ends the
- * process with what is left named in the log.
+ * Runs a daemon. The first signal begins a planned stop; a second one, or the time limit, ends the
+ * process and logs the unfinished work.
  *
- * @param stopLimit longest time of a planned stop in milliseconds
+ * @param stopLimit maximum duration of a planned stop in milliseconds
  * @returns exit code of the process
  */
 export async function runUntilStopped (daemon: Daemon, log: Logger, stopLimit = MAX_STOP_MILLISECONDS): Promise<number> {
--- a/packages/daemon/src/suspension.ts
+++ b/packages/daemon/src/suspension.ts
@@ -1,9 +1,9 @@
 /**
- * Notices that the machine was suspended. The steady clock does not count that time, so leases that
- * were agreed with others have run out without it showing there; the time of day does count it.
+ * Detects suspensions of the machine. The monotonic clock does not advance during a suspension, so it
+ * does not show that leases agreed with other processes have expired; the time of day does advance.
  */
 
-/** A jump of the time of day below this is taken for an adjustment of the clock. */
+/** A jump of the time of day below this is considered an adjustment of the clock. */
 const MIN_SUSPENSION_MILLISECONDS = 150
 
 export class SuspensionWatch {
@@ -18,9 +18,10 @@
   }
 
   /**
-   * Milliseconds by which the time of day ran ahead of the steady clock since the last call; 0 when
-   * it was no more than an adjustment. A clock that was set ahead looks the same and is taken for
-   * a suspension: that costs some repeated work, the opposite error two runs of one task.
+   * Returns the milliseconds by which the time of day advanced more than the monotonic clock since the
+   * last call, or 0 when that is no more than an adjustment. A clock that was set ahead cannot be
+   * distinguished and is reported as a suspension: this costs some repeated work, whereas an undetected
+   * suspension can cause two runs of one task.
    */
   check (): number {
     const offset = this.#wall() - this.#steady()
--- a/packages/daemon/src/targetcall.ts
+++ b/packages/daemon/src/targetcall.ts
@@ -1,4 +1,4 @@
-/** One call to a target, and what can be said for certain of how it ended. */
+/** One call to a target, and what its end proves about the run of the task. */
 import { TaskOutcome } from '@amaranthmast/coordination/messages'
 import type { Dispatcher } from 'undici'
 import { FAILURE_DETAIL_LENGTH, MAX_RESULT_BYTES } from './defaults.ts'
@@ -6,9 +6,9 @@
 /** How a call ended. */
 export interface CallEnd {
   outcome: TaskOutcome
-  /** The result as the target gave it; empty unless the task succeeded. */
+  /** The result as the target returned it; empty unless the task succeeded. */
   payload: Uint8Array
-  /** Text for a person; empty when the task succeeded. */
+  /** Human-readable description; empty when the task succeeded. */
   detail: string
 }
 
@@ -18,9 +18,9 @@
 /**
  * Collects the response of one call and settles once.
  *
- * A call that broke off proves nothing, since the target may have read the task before. It is
- * certain that a task never started only while nothing of it was written: no connection came up,
- * or it was broken off before its turn.
+ * A call whose connection broke proves nothing, since the target may have read the task before. A task
+ * certainly did not start only if nothing of it was written: no connection was established, or the
+ * call was aborted before it was sent.
  */
 export class TargetCall implements Dispatcher.DispatchHandler {
   readonly #settle: (end: CallEnd) => void
@@ -36,14 +36,14 @@
     this.#settle = settle
   }
 
-  /** Breaks the call off. */
+  /** Aborts the call. */
   abort (): void {
     this.#aborted = true
     if (this.#controller === undefined) this.#fail('the call was broken off before it was sent')
     else this.#controller.abort(new Error('broken off'))
   }
 
-  /** Just before the first byte is written: the last moment at which an abort still prevents the start. */
+  /** Called just before the first byte is written, the last moment at which an abort can prevent the start of the task. */
   onRequestStart (controller: Dispatcher.DispatchController): void {
     if (this.#aborted) controller.abort(new Error('broken off'))
     else this.#controller = controller
@@ -86,7 +86,7 @@
   if (status !== STATUS_OK) {
     return failed(`the target answered with status ${status}: ${body.toString('utf8').slice(0, FAILURE_DETAIL_LENGTH)}`)
   }
-  // A result that is not JSON would make the whole answer of its job unreadable for the caller.
+  // A result that is not JSON would make the whole answer of the job unparseable for the caller.
   if (!isJson(body)) return failed('the result of the target is not JSON')
   return { outcome: TaskOutcome.Succeeded, payload: body, detail: '' }
 }
--- a/packages/daemon/src/ticker.ts
+++ b/packages/daemon/src/ticker.ts
@@ -1,4 +1,4 @@
-/** The daemon's one timer: often while there is work, seldom while there is none. */
+/** The daemon's timer: it ticks at a shorter interval while there is work. */
 import type { LoopLag } from './looplag.ts'
 import { IDLE_TICK_MILLISECONDS, TICK_MILLISECONDS } from './defaults.ts'
 
@@ -9,8 +9,8 @@
   #timer: NodeJS.Timeout | undefined
 
   /**
-   * @param busy whether anything is in progress whose limits are shorter than the idle interval
-   * @param lag is told when each tick is due, and when it comes
+   * @param busy whether any work in progress has limits that are shorter than the idle interval
+   * @param lag records when each tick is due and when it happens
    */
   constructor (tick: () => void, busy: () => boolean, lag: LoopLag) {
     this.#tick = tick
--- a/packages/daemon/src/viewcodec.ts
+++ b/packages/daemon/src/viewcodec.ts
@@ -1,9 +1,9 @@
-/** The view of the entries as the value that the key-value service holds. */
+/** Encodes and decodes the view of the entries as stored in the key-value service. */
 import type { Member, View } from '@amaranthmast/coordination/messages'
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 
-/** The view before the first entry has joined. */
+/** The view before any entry has joined. */
 export const NO_VIEW: View = { version: 0, members: [], fenced: [] }
 
 /** The stored value is not a view. */
@@ -16,17 +16,17 @@
   }
 }
 
-/** The value to store. Only the known fields are written, in a fixed order, so that values compare as text. */
+/** Encodes a view for storage. Only the known fields are written, in a fixed order, so that values can be compared as text. */
 export function encodeView (view: View): string {
   return JSON.stringify(plainView(view))
 }
 
-/** The view without what the inner protocol adds to received messages. */
+/** Returns the view without the fields that the inner protocol adds to received messages. */
 export function plainView ({ version, members, fenced }: View): View {
   return { version, members: members.map(plainMember), fenced }
 }
 
-/** Reads a stored value. */
+/** Decodes a stored value; `key` is used in the error message. */
 export function decodeView (key: string, value: string): Result<View, ViewUnreadable> {
   const parsed = parse(value)
   return isView(parsed) ? ok(parsed) : err(new ViewUnreadable(key))
--- a/packages/daemon/src/viewreader.ts
+++ b/packages/daemon/src/viewreader.ts
@@ -1,4 +1,4 @@
-/** Reads of the view of the entries, for both roles. */
+/** Reads the view of the entries from the store, for both roles. */
 import type { View } from '@amaranthmast/coordination/messages'
 import type { KeyValueClient } from '@amaranthmast/store/client'
 import type { StoreSettings } from '@amaranthmast/settings/settingstypes'
@@ -7,34 +7,34 @@
 import type { Logger } from './log.ts'
 import { decodeView, NO_VIEW } from './viewcodec.ts'
 
-/** A view as read, as the event of an entry. */
+/** Event of a successful read of the view. */
 export interface ViewRead {
   type: 'viewRead'
   view: View
-  /** Revision to compare with when it is replaced; 0 when there is none yet. */
+  /** Revision to compare with when the view is replaced; 0 when none is stored yet. */
   revision: number
-  /** Reading of the daemon's clock when the read was sent. */
+  /** Time of the daemon's clock when the read was sent. */
   readStarted: number
 }
 
-/** What the store client of a daemon needs. */
+/** Options for the store access of a daemon. */
 export interface StoreOptions {
   client: KeyValueClient
   settings: StoreSettings
   log: Logger
-  /** Clock of the daemon in milliseconds, the one that the decision logic is given. */
+  /** Clock of the daemon in milliseconds, the same one that the decision logic uses. */
   now: () => number
   random: () => number
 }
 
-/** Outcome of a read, as the event of an entry. */
+/** Event with the outcome of a read. */
 export type ViewEvent = ViewRead | { type: 'viewReadFailed' }
 
 export class ViewReader {
   readonly #options: StoreOptions
   readonly #key: string
   readonly #post: (event: ViewEvent) => void
-  #known: Pick<ViewRead, 'view' | 'revision'> = { view: NO_VIEW, revision: 0 }
+  #cached: Pick<ViewRead, 'view' | 'revision'> = { view: NO_VIEW, revision: 0 }
   #reading = false
   #failing = false
 
@@ -44,7 +44,7 @@
     this.#post = post
   }
 
-  /** Reads the view and posts the outcome. While a read is under way no second one is sent. */
+  /** Reads the view and posts the outcome. Does nothing while another read is in progress. */
   async read (): Promise<void> {
     if (this.#reading) return
     this.#reading = true
@@ -54,31 +54,31 @@
   }
 
   /**
-   * Reads the view; undefined when that failed. A view that has not changed is not sent again. Its
-   * revision is still confirmed by the store as of an instant after `readStarted`: the read is a
-   * transaction, which is linearizable.
+   * Reads the view; undefined when that failed. The store does not send a view that has not changed,
+   * but still confirms its revision as of an instant after `readStarted`: the read is a transaction,
+   * which is linearizable.
    */
   async fetch (): Promise<ViewRead | undefined> {
     const readStarted = this.#options.now()
-    const known = this.#known
+    const known = this.#cached
     const result = await this.#options.client.readIfChanged(this.#key, known.revision)
     if (result.isErr()) return this.#failed(result.error)
     if (!result.value.changed) return this.#succeeded({ type: 'viewRead', ...known, readStarted })
     const { entry } = result.value
     const view = entry === undefined ? ok(NO_VIEW) : decodeView(this.#key, entry.value)
     if (view.isErr()) return this.#failed(view.error)
-    this.#known = { view: view.value, revision: entry?.modRevision ?? 0 }
-    return this.#succeeded({ type: 'viewRead', ...this.#known, readStarted })
+    this.#cached = { view: view.value, revision: entry?.modRevision ?? 0 }
+    return this.#succeeded({ type: 'viewRead', ...this.#cached, readStarted })
   }
 
   #succeeded (event: ViewRead): ViewRead {
-    if (this.#failing) this.#options.log.info('the view can be read again')
+    if (this.#failing) this.#options.log.info('view readable again')
     this.#failing = false
     return event
   }
 
   #failed (error: Error): undefined {
-    if (!this.#failing) this.#options.log.warn({ reason: error.message }, 'the view cannot be read')
+    if (!this.#failing) this.#options.log.warn({ reason: error.message }, 'cannot read the view')
     this.#failing = true
   }
 }
--- a/packages/daemon/test/answers.test.ts
+++ b/packages/daemon/test/answers.test.ts
@@ -1,4 +1,4 @@
-/** What callers see of each kind of answer. */
+/** HTTP responses for each kind of answer. */
 import type { Answer } from '@amaranthmast/coordination/messages'
 import { AnswerKind, Cause, JobState } from '@amaranthmast/coordination/messages'
 import { expect } from 'earl'
@@ -45,24 +45,24 @@
 ]
 
 for (const { milliseconds, seconds } of retries) {
-  test(`coming back in ${milliseconds} ms is ${seconds} s in the header`, () => {
+  test(`a retry after ${milliseconds} ms is ${seconds} s in the header`, () => {
     const response = answerResponse('magnolia/j1', answerOf({ retryAfterMilliseconds: milliseconds }))
     expect(response.headers['retry-after']).toEqual(seconds)
   })
 }
 
-test('results go out in task order as the targets gave them', () => {
+test('results are sent in task order, as the targets returned them', () => {
   const results = ['{"a": 1}', 'null', '[2]'].map(text => Buffer.from(text))
   const response = answerResponse('magnolia/j1', answerOf({ kind: AnswerKind.Complete, cause: Cause.None, results }))
   expect(Buffer.from(response.body).toString()).toEqual('{"kind":"complete","job":"j1","results":[{"a": 1},null,[2]]}')
 })
 
-test('the stated length is that of the body in bytes', () => {
+test('the content length is the length of the body in bytes', () => {
   const response = answerResponse('magnolia/j1', answerOf({ detail: 'größer als erlaubt' }))
   expect(response.headers['content-length']).toEqual(response.body.length)
 })
 
-test('a look-up of an answered job holds the answer', () => {
+test('the response to a look-up of an answered job contains the answer', () => {
   const response = lookUpResponse('magnolia/j1', JobState.Answered, answerOf({ kind: AnswerKind.Complete, cause: Cause.None, results: [Buffer.from('1')] }))
   expect(JSON.parse(Buffer.from(response.body).toString())).toEqual({ state: 'answered', answer: { kind: 'complete', job: 'j1', results: [1] } })
 })
@@ -74,7 +74,7 @@
 ]
 
 for (const { state, text } of states) {
-  test(`a look-up tells ${JobState[state]}`, () => {
+  test(`a look-up returns the state ${JobState[state]}`, () => {
     const response = lookUpResponse('magnolia/j1', state, undefined)
     expect([response.status, Buffer.from(response.body).toString()]).toEqual([200, text])
   })
--- a/packages/daemon/test/callers.test.ts
+++ b/packages/daemon/test/callers.test.ts
@@ -17,7 +17,7 @@
 const job = { job: 'j1', tenant: 'magnolia', service: 'label-check', tasks: [{ payload: 1 }] }
 const complete: Answer = { kind: AnswerKind.Complete, cause: Cause.None, detail: '', results: [Buffer.from('{"ok":1}')], retryAfterMilliseconds: 0 }
 
-test('a job is submitted and its answer comes back', async context => {
+test('a submitted job is answered over HTTP', async context => {
   const { callers, port, next } = await start(context)
   const reply = call(port, 'POST', '/v1/jobs', JSON.stringify(job))
   const event = await next()
@@ -55,7 +55,7 @@
 })
 
 const refusals = [
-  { name: 'what is not JSON', method: 'POST', path: '/v1/jobs', body: '{', status: 400, cause: 'malformed' },
+  { name: 'a body that is not JSON', method: 'POST', path: '/v1/jobs', body: '{', status: 400, cause: 'malformed' },
   { name: 'an empty body', method: 'POST', path: '/v1/jobs', body: '', status: 400, cause: 'malformed' },
   { name: 'a job without tasks', method: 'POST', path: '/v1/jobs', body: '{"job":"a","tenant":"b","service":"c"}', status: 400, cause: 'malformed' },
   { name: 'a body above 4 MiB', method: 'POST', path: '/v1/jobs', body: ' '.repeat(4 * 1024 * 1024 + 1), status: 413, cause: 'tooLarge' },
@@ -148,19 +148,19 @@
 async function start (context: TestContext) {
   const events: EntryEvent[] = []
   const waiting: Array<(event: EntryEvent) => void> = []
-  let taken = 0
+  let consumed = 0
   let ready = true
   const post = (event: EntryEvent): void => {
     events.push(event)
-    const taker = waiting.shift()
-    if (taker !== undefined) taker(event)
+    const waiter = waiting.shift()
+    if (waiter !== undefined) waiter(event)
   }
   const callers = new Callers(post, { ready: () => ready, state: () => 'serving' })
   const port = (await callers.listen('127.0.0.1', 0))._unsafeUnwrap()
   context.after(() => callers.close())
   const next = async (): Promise<EntryEvent> => {
-    const event = events[taken] ?? await new Promise<EntryEvent>(resolve => waiting.push(resolve))
-    taken += 1
+    const event = events[consumed] ?? await new Promise<EntryEvent>(resolve => waiting.push(resolve))
+    consumed += 1
     return event
   }
   return { callers, port, events, next, setReady: (value: boolean) => { ready = value } }
--- a/packages/daemon/test/configurationmetrics.test.ts
+++ b/packages/daemon/test/configurationmetrics.test.ts
@@ -11,7 +11,7 @@
   return exposition.text().split('\n').filter(line => line !== '' && !line.startsWith('#'))
 }
 
-test('an entry that has heard of a newer configuration shows both versions, and how old its last reading is', () => {
+test('an entry that has received a newer version number exposes both versions and the age of its last confirmation', () => {
   const lines = linesOf(exposition => exposeConfiguration(exposition, STATUS, 1500))
   expect(lines.includes('amaranthmast_configuration_version{figure="in_force"} 7')).toEqual(true)
   expect(lines.includes('amaranthmast_configuration_version{figure="newest_heard"} 9')).toEqual(true)
@@ -19,12 +19,12 @@
   expect(lines.includes('amaranthmast_configuration_documents_total{direction="received_useless"} 1')).toEqual(true)
 })
 
-test('an entry without any reading shows no age', () => {
+test('an entry without a confirmation exposes no age', () => {
   const lines = linesOf(exposition => exposeConfiguration(exposition, STATUS, undefined))
   expect(lines.some(line => line.startsWith('amaranthmast_configuration_age_seconds'))).toEqual(false)
 })
 
-test('calls that got no answer are told apart', () => {
+test('store calls without an answer are counted separately', () => {
   const lines = linesOf(exposition => exposeStoreCalls(exposition, { reads: 4 }, [{ kind: 'reads', end: 'done', count: 3 }, { kind: 'reads', end: 'unanswered', count: 1 }]))
   expect(lines).toEqual([
     'amaranthmast_store_calls_total{kind="reads"} 4',
--- a/packages/daemon/test/decisionlog.test.ts
+++ b/packages/daemon/test/decisionlog.test.ts
@@ -47,9 +47,9 @@
 })
 
 test('both classes together stay within a bound per second', async () => {
-  const storm = [{ what: 'job taken', count: 2000 }, { what: 'target lost', count: 2000 }]
+  const burst = [{ what: 'job taken', count: 2000 }, { what: 'target lost', count: 2000 }]
   const seconds = 5
-  const lines = await linesOf([...storm, ...Array.from({ length: seconds }, () => [{ clock: 1000, pause: 20 }, ...storm]).flat()])
+  const lines = await linesOf([...burst, ...Array.from({ length: seconds }, () => [{ clock: 1000, pause: 20 }, ...burst]).flat()])
   expect(lines.length <= 600 + seconds * 450).toEqual(true)
   expect(countOf(lines, 'target lost') >= seconds * 100).toEqual(true)
 })
--- a/packages/daemon/test/lineclass.test.ts
+++ b/packages/daemon/test/lineclass.test.ts
@@ -1,4 +1,4 @@
-/** Which lines are routine. */
+/** Which lines of the decision log are routine. */
 import { Cause, Outcome } from '@amaranthmast/dispatch/messages'
 import { expect } from 'earl'
 import { readdirSync, readFileSync } from 'node:fs'
@@ -7,7 +7,7 @@
 
 const ROOT = new URL('../../../', import.meta.url)
 
-/** Where lines are written. */
+/** Folders of the code that writes decision log lines. */
 const SOURCES = ['packages/dispatch/src/', 'packages/configuration/src/', 'packages/daemon/src/', 'platform/src/']
 
 function sourcesBut (excepted: string): string {
@@ -15,8 +15,8 @@
   return files.filter(file => !file.endsWith(excepted)).map(file => readFileSync(new URL(file, ROOT), 'utf8')).join('\n')
 }
 
-// A message that is renamed at its place alone would join the lines that tell changes, and crowd them out under load.
-test('every routine message is written somewhere', () => {
+// A message that is renamed only where it is written would be classified as a change and displace the reports of changes under load.
+test('every routine message is written somewhere in the code', () => {
   const sources = sourcesBut('/lineclass.ts')
   expect([...ROUTINE_MESSAGES].filter(message => !sources.includes(`'${message}'`))).toEqual([])
 })
@@ -27,17 +27,17 @@
   'woke from a suspension', 'fenced, token raised', 'another life of the target announced itself', 'evacuations in force'
 ]
 
-test('what explains a second run of a task is not routine', () => {
+test('lines that explain a second run of a task are not routine', () => {
   expect(CHANGES.filter(message => lineClassOf(message, { cause: Cause.TargetLost }) !== LineClass.Change)).toEqual([])
 })
 
-test('a task that found no room is routine, one that came back for another cause is not', () => {
+test('a task that found its target full is routine, one that failed for another cause is not', () => {
   const classes = [Cause.Full, Cause.Unanswered, Cause.Stopped, Cause.None].map(cause => lineClassOf('task ended', { cause }))
   expect(classes).toEqual([LineClass.Routine, LineClass.Change, LineClass.Change, LineClass.Change])
 })
 
-// The tasks of a queue that always fail come back as often as they start.
-test('a task that failed by itself is routine, one that is gone or was not started is not', () => {
+// The tasks of a queue that always fails are placed again as often as they start.
+test('a task that failed by itself is routine, one that was lost or not started is not', () => {
   const classes = [Outcome.Failed, Outcome.Gone, Outcome.NotStarted].map(outcome => lineClassOf('task to be placed again', { outcome, cause: Cause.None }))
   expect(classes).toEqual([LineClass.Routine, LineClass.Change, LineClass.Change])
 })
--- a/packages/daemon/test/links.test.ts
+++ b/packages/daemon/test/links.test.ts
@@ -103,12 +103,12 @@
   expect([opening.value, (await pending).value]).toEqual([[], [1, 2]])
 })
 
-const unhurried = [
+const delayed = [
   { name: 'the next message', send: (outbox: Outbox<number, number[]>) => { outbox.push(2) }, frame: [1, 2] },
   { name: 'a flush', send: (outbox: Outbox<number, number[]>) => outbox.flush(), frame: [1] }
 ]
 
-for (const { name, send, frame } of unhurried) {
+for (const { name, send, frame } of delayed) {
   test(`a message that is not urgent is sent with ${name}`, async () => {
     const outbox = new Outbox<number, number[]>(messages => [...messages])
     const frames = outbox.frames()
--- a/packages/daemon/test/looplag.test.ts
+++ b/packages/daemon/test/looplag.test.ts
@@ -1,4 +1,4 @@
-/** How late the event loop is, and what is said of it. */
+/** Measurement and reporting of event loop delays. */
 import { expect } from 'earl'
 import { performance } from 'node:perf_hooks'
 import { test } from 'node:test'
@@ -10,13 +10,13 @@
 const THRESHOLD = 100
 const INTERVAL = 50
 
-/** Lateness of ticks on a clock of its own. */
+/** Simulates late ticks on a fake clock. */
 class Ticks {
   readonly notes: Array<Record<string, unknown>> = []
   #now = 1000
   readonly lag = new LoopLag({ threshold: THRESHOLD, now: () => this.#now, note: (_what, fields) => { this.notes.push(fields) } })
 
-  /** Ticks that come so many milliseconds late, one after the other. */
+  /** Simulates one tick for each argument, late by that many milliseconds. */
   late (...milliseconds: number[]): this {
     for (const late of milliseconds) {
       this.lag.expect(INTERVAL)
@@ -33,21 +33,21 @@
   }
 }
 
-test('the threshold is what limits set aside for a stop and for timers', () => {
+test('the threshold is the time that the limits reserve for a stop and for timers', () => {
   expect(lateTurnThreshold(50)).toEqual(100)
 })
 
-test('ticks up to the threshold are not noted', () => {
+test('ticks that are late by no more than the threshold are not logged', () => {
   expect(new Ticks().late(0, 99, 100, 0).notes).toEqual([])
 })
 
-// A process that was late by more than its callers wait for left no trace of it.
-test('a tick later than the threshold is noted at once with how late it was', () => {
+// Without this line, nothing shows that a process was delayed by more than its callers wait.
+test('a tick later than the threshold is logged at once with its delay', () => {
   expect(new Ticks().late(0, 412).notes).toEqual([{ late: 412, interval: INTERVAL, ago: 0, turns: 1, threshold: THRESHOLD }])
 })
 
-// A process that is late all the time must not spend its time on saying so.
-test('late ticks within a second share a line that tells the worst, when it was, and their number', () => {
+// A process that is late all the time must not spend its time on logging it.
+test('late ticks within a second share a line with the maximum delay, its time, and their number', () => {
   const ticks = new Ticks().late(101, 150, 300, 200)
   expect(ticks.notes.map(({ turns }) => turns)).toEqual([1])
   ticks.late(0, 0, 0)
@@ -57,7 +57,7 @@
   expect(ticks.late(...Array.from({ length: 100 }, () => 0)).notes.length).toEqual(2)
 })
 
-test('the time before the first tick was expected is no lateness', () => {
+test('the time before the first tick was scheduled does not count as delay', () => {
   let now = 0
   const lag = new LoopLag({ threshold: THRESHOLD, now: () => now, note: () => { throw new Error('noted') } })
   now = 5000
@@ -66,7 +66,7 @@
   lag.ticked()
 })
 
-test('lateness is exposed as quantiles in seconds, and late ticks are counted', () => {
+test('delays are exposed as quantiles in seconds, and late ticks are counted', () => {
   expect(new Ticks().late(...Array.from({ length: 98 }, () => 0), 250, 250).lines()).toEqual([
     'amaranthmast_loop_late_seconds{quantile="0.5"} 0',
     'amaranthmast_loop_late_seconds{quantile="0.9"} 0',
@@ -78,7 +78,7 @@
   ])
 })
 
-test('a loop that is held up shows in the next tick of the one timer', async () => {
+test('a blocked event loop is detected by the next tick of the timer', async () => {
   const notes: number[] = []
   const lag = new LoopLag({ threshold: THRESHOLD, now: () => performance.now(), note: (_what, { late }) => notes.push(late as number) })
   const first = new Promise<void>(resolve => {
--- a/packages/daemon/test/metrics.test.ts
+++ b/packages/daemon/test/metrics.test.ts
@@ -1,4 +1,4 @@
-/** Metrics, as monitoring systems read them. */
+/** Metrics in the format that monitoring systems read. */
 import { AnswerKind, Cause } from '@amaranthmast/coordination/messages'
 import { expect } from 'earl'
 import { test } from 'node:test'
@@ -25,7 +25,7 @@
 `)
 })
 
-test('a task is counted and its times are shown for its class in seconds', () => {
+test('a task is counted and its times are exposed for its class in seconds', () => {
   const metrics = new EntryMetrics()
   metrics.taskFinished(task)
   const lines = linesOf(metrics)
@@ -51,7 +51,7 @@
   })
 }
 
-test('quantiles are those of what was recorded', () => {
+test('quantiles are those of the recorded values', () => {
   const histograms = new ClassHistograms()
   for (let value = 1; value <= 100; value++) histograms.record('magnolia', 'label-check', Measure.Wait, value)
   const [figures] = histograms.figures()
@@ -61,7 +61,7 @@
   expect(Math.round(wait?.p99 ?? 0)).toEqual(99)
 })
 
-test('names without end do not fill the memory', () => {
+test('the number of classes is bounded', () => {
   const histograms = new ClassHistograms()
   for (let number = 0; number < 600; number++) histograms.record(`tenant-${number}`, 's', Measure.Wait, 1)
   const figures = histograms.figures()
--- a/packages/daemon/test/schedulingmetrics.test.ts
+++ b/packages/daemon/test/schedulingmetrics.test.ts
@@ -29,17 +29,17 @@
   return exposition.text().split('\n').filter(line => !line.startsWith('#'))
 }
 
-test('an entry exposes the room that it gives out itself, not what it has heard of', () => {
+test('an entry exposes the free capacity of its own groups, not that reported by other entries', () => {
   expect(lines().filter(line => line.startsWith('amaranthmast_room_cores'))).toEqual(['amaranthmast_room_cores{group="one",entry="self",figure="free"} 4.5'])
 })
 
-test('the share behind a refusal is exposed by queue', () => {
+test('the share that explains a refusal is exposed by queue', () => {
   const shown = lines()
   expect(shown.includes('amaranthmast_share_cores{queue="check",figure="threshold"} 0.75')).toEqual(true)
   expect(shown.includes('amaranthmast_admission_refused_total{queue="check",cause="overload",figure="refused"} 3')).toEqual(true)
 })
 
-test('capacity is exposed in cores, now and ahead', () => {
+test('capacity is exposed in cores, both current and forecast', () => {
   const shown = lines().filter(line => line.startsWith('amaranthmast_capacity_cores') && line.includes('figure="total"'))
   expect(shown).toEqual(['amaranthmast_capacity_cores{service="checks",ahead="0",figure="total"} 64', 'amaranthmast_capacity_cores{service="checks",ahead="1000",figure="total"} 32'])
 })
--- a/packages/daemon/test/seeds.test.ts
+++ b/packages/daemon/test/seeds.test.ts
@@ -1,4 +1,4 @@
-/** An agent asks entries that its settings name for the view, over real connections. */
+/** An agent requests the view from the entries in its settings, over real connections. */
 import type { View } from '@amaranthmast/coordination/messages'
 import { expect } from 'earl'
 import { pino } from 'pino'
@@ -12,9 +12,9 @@
 const member = { instance: 'entry-1#a', address: 'http://127.0.0.1:7101', dataCentre: 'gulf-1', leaving: false }
 const VIEW: View = { version: 3, members: [member], fenced: [] }
 const NO_VIEW: View = { version: 0, members: [], fenced: [] }
-const NOWHERE = 'http://127.0.0.1:1'
+const UNREACHABLE = 'http://127.0.0.1:1'
 
-/** An entry with this view, and the number of times that it was asked. */
+/** Starts an entry with this view; counts how often the view is requested. */
 async function startEntry (test: TestContext, view: View) {
   const asked = { times: 0 }
   const listener = new InnerListener({
@@ -35,17 +35,17 @@
   return new Seeds(environment, addresses)
 }
 
-/** Without the marks of the codec. */
+/** Encodes a view without the fields that the codec adds. */
 function textOf (view: View | undefined): string | undefined {
   return view && encodeView(view)
 }
 
-// The store is down and an agent starts. It knows the entries' addresses, but not which runs of them
-// listen there: the first that has joined tells it, past one that is gone and one that is joining.
-test('the first entry that has a view tells it', async t => {
+// An agent starts while the store is down. It has the entries' addresses, but not the incarnations that
+// listen there. One of them does not answer and one is still joining; the first that has joined sends its view.
+test('the view is that of the first entry that has one', async t => {
   const joining = await startEntry(t, NO_VIEW)
   const joined = await startEntry(t, VIEW)
-  expect(textOf(await seeds([NOWHERE, joining.address, joined.address]).view())).toEqual(encodeView(VIEW))
+  expect(textOf(await seeds([UNREACHABLE, joining.address, joined.address]).view())).toEqual(encodeView(VIEW))
   expect([joining.asked.times, joined.asked.times]).toEqual([1, 1])
 })
 
@@ -56,12 +56,12 @@
   expect(entries.map(({ asked }) => asked.times)).toEqual([2, 2])
 })
 
-test('without an entry that answers there is no view', async () => {
-  expect(await seeds([NOWHERE]).view()).toEqual(undefined)
+test('there is no view when no entry answers', async () => {
+  expect(await seeds([UNREACHABLE]).view()).toEqual(undefined)
   expect(await seeds([]).view()).toEqual(undefined)
 })
 
-test('one call asks at a time', async t => {
+test('only one call requests the view at a time', async t => {
   const entry = await startEntry(t, VIEW)
   const subject = seeds([entry.address])
   const views = await Promise.all([subject.view(), subject.view()])
--- a/packages/daemon/test/status.test.ts
+++ b/packages/daemon/test/status.test.ts
@@ -1,4 +1,4 @@
-/** The status port of both roles: what monitoring, balancers and the tool read there. */
+/** The status port of both roles: the pages that monitoring, balancers and the command-line tool read. */
 import type { StatusPage } from '@amaranthmast/cli/statuspage'
 import { checkSettings } from '@amaranthmast/settings/settings'
 import type { AgentSettings, EntrySettings } from '@amaranthmast/settings/settingstypes'
@@ -34,14 +34,14 @@
 const target = { target: 'daemon-1', provider: 'provider-a', services: ['label-check'], slots: 8, accelerators: 0, memoryMegabytes: 0, dataCentre: 'gulf-1', rack: 'r1' }
 const common = { instance: 'daemon-1#1', state: 'joining', dataCentre: 'gulf-1', view: { version: 0, members: [], fenced: [] }, configurationVersion: 0 }
 
-/** What the tool reads of each role's page; its names and shapes are those of the tool. */
+/** Fields of each role's status page that the command-line tool reads, in the types of the tool. */
 const read: Record<string, Partial<StatusPage>> = {
   entry: { ...common, role: 'entry', configurationBehind: [], agents: [], scheduler: scheduler as unknown as StatusPage['scheduler'], classes: [] },
   agent: { ...common, role: 'agent', target, running: 0 }
 }
 
 for (const [role, page] of Object.entries(read)) {
-  test(`the page of an ${role} has what the tool reads`, async context => {
+  test(`the status page of an ${role} has the fields that the command-line tool reads`, async context => {
     expect(JSON.parse(await pageOf(context, role, '/status'))).toEqual(expect.subset(page))
   })
 }
@@ -62,7 +62,7 @@
   })
 }
 
-/** A page of a daemon that listens and has not yet reached the store. */
+/** Returns a page of a daemon that listens and has not reached the store yet. */
 async function pageOf (context: TestContext, role: string, path: string): Promise<string> {
   const own = role === 'entry' ? { callers: { port: 0 }, peers: { port: 0, address: 'http://127.0.0.1:1' } } : { target: { url: 'http://127.0.0.1:1', provider: 'provider-a', services: ['label-check'] } }
   const settings = checkSettings({
--- a/packages/daemon/test/store.test.ts
+++ b/packages/daemon/test/store.test.ts
@@ -1,4 +1,4 @@
-/** The view in the key-value service: reads, writes, and writes whose answer was lost. */
+/** The view in the key-value service: reads, writes, and writes whose answer is lost. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { View } from '@amaranthmast/coordination/messages'
 import type { KeyValueClient } from '@amaranthmast/store/client'
@@ -18,21 +18,21 @@
 const lost = new StoreTimedOut('no answer', true)
 const down = new StoreUnavailable('down')
 
-test('a read tells view, revision and when it was sent', async () => {
+test('a read reports the view, its revision and the time when the read was sent', async () => {
   const { events, reader } = start({ stored: { view: mine, revision: 9 } })
   await reader.read()
   expect(events).toEqual([{ type: 'viewRead', view: mine, revision: 9, readStarted: 100 }])
 })
 
-test('no stored value is the view before the first entry', async () => {
+test('without a stored value the view is empty', async () => {
   const { events, reader } = start({})
   await reader.read()
   expect(events).toEqual([{ type: 'viewRead', view: { version: 0, members: [], fenced: [] }, revision: 0, readStarted: 100 }])
 })
 
-// An entry acts on a view only while the store has confirmed it lately. A poll that finds the view
-// unchanged is told no view: it must confirm the known one, as of when this poll was sent, and a
-// poll that finds another one must never confirm the known one.
+// An entry acts on a view only while the store has confirmed it recently. A read that finds the view
+// unchanged returns no view and must confirm the known one as of when this read was sent. A read
+// that finds another view must never confirm the known one.
 const later: Array<{ name: string, stored?: Stored, read?: StoreError, event: EntryEvent }> = [
   { name: 'unchanged', stored: { view: mine, revision: 9 }, event: { type: 'viewRead', view: mine, revision: 9, readStarted: 200 } },
   { name: 'changed', stored: { view: other, revision: 12 }, event: { type: 'viewRead', view: other, revision: 12, readStarted: 200 } },
@@ -42,7 +42,7 @@
 ]
 
 for (const { name, stored, read, event } of later) {
-  test(`a second read tells the view as it is then: ${name}`, async () => {
+  test(`a second read reports the current view: ${name}`, async () => {
     const answers: Answers = { stored: { view: mine, revision: 9 } }
     const { events, reader, clock, asked } = start(answers)
     await reader.read()
@@ -63,14 +63,15 @@
   expect(events).toEqual([{ type: 'viewReadFailed' }])
 })
 
-test('reads that are asked for while one is under way are one read', async () => {
+test('reads that are requested while one is in progress are merged into it', async () => {
   const { events, reader } = start({})
   await Promise.all([reader.read(), reader.read()])
   expect(events.length).toEqual(1)
 })
 
-// An entry writes the view and the answer is lost. Taken for a failure, the entry would write
-// again on a wrong basis; taken for a success, it would act as a member that nobody knows.
+// An entry writes the view and the answer is lost. If that counted as a failure, the entry would write
+// again based on an outdated view; if it counted as a success, it might act as a member of a view that
+// does not contain it.
 const writes: Array<{ name: string, swap: SwapResult | StoreError, stored?: { view: View, revision: number }, read?: StoreError, outcome: string }> = [
   { name: 'a write that was applied', swap: { applied: true, revision: 10 }, outcome: 'applied' },
   { name: 'a write that met another revision', swap: { applied: false, revision: 10, entry: undefined }, outcome: 'conflict' },
@@ -89,9 +90,9 @@
   })
 }
 
-test('the address of the status port is written until that succeeds, and then no more', async () => {
-  // An entry starts while the store is down and serves by what its peers tell it. Written only at
-  // the start, its address would stay unknown to the tool for the life of the process.
+test('the write of the status address is retried until it succeeds, and not repeated after that', async () => {
+  // An entry starts while the store is down and serves with the state of its peers. If the address were
+  // written only at the start, the command-line tool would not find it as long as the process runs.
   const answers = [errAsync(down), errAsync(lost), okAsync(7)]
   const puts: string[] = []
   const { store } = start({ put: (key, value) => answers[puts.push(`${key} ${value}`) - 1] })
@@ -99,14 +100,14 @@
   expect(puts).toEqual(Array.from({ length: 3 }, () => '/test/instances/entry-1 {}'))
 })
 
-test('an entry that stops no longer tries to write its address', async () => {
+test('an entry that stops no longer retries the write of its address', async () => {
   const { store } = start({ put: () => errAsync(down) })
   const published = store.publish({ key: 'k', value: '{}' })
   store.stop()
   await published
 })
 
-test('a view is stored and read without the marks of the inner protocol', () => {
+test('a view is stored and read without the fields that the inner protocol adds', () => {
   const received = { $typeName: 'amaranthmast.inner.v1.View', ...mine, members: mine.members.map(member => ({ $typeName: 'amaranthmast.inner.v1.Member', ...member })) }
   expect(decodeView('k', encodeView(received))._unsafeUnwrap()).toEqual(mine)
 })
@@ -131,7 +132,7 @@
   put?: (key: string, value: string) => unknown
 }
 
-/** A store over a client that answers as `answers` says at the time of the call. */
+/** Creates a store with a fake client that answers each call according to the current `answers`. */
 function start (answers: Answers) {
   const { swap, put } = answers
   const clock = { now: 100 }
--- a/packages/daemon/test/streams.test.ts
+++ b/packages/daemon/test/streams.test.ts
@@ -25,7 +25,7 @@
   entry.listener.close()
 })
 
-test('an agent that ends its stream is reported once', async () => {
+test('an agent that ends its stream is reported as disconnected once', async () => {
   const entry = await startEntry('entry-1#a')
   const agent = startAgent('agent-1#b')
   agent.entries.connect([{ instance: 'entry-1#a', address: entry.address }])
@@ -37,7 +37,7 @@
   expect(entry.left()).toEqual([])
 })
 
-test('an agent comes back by itself when an entry broke its stream off', async () => {
+test('an agent reconnects by itself after an entry has closed its stream', async () => {
   const entry = await startEntry('entry-1#a')
   const agent = startAgent('agent-1#b')
   agent.entries.connect([{ instance: 'entry-1#a', address: entry.address }])
@@ -50,7 +50,7 @@
   entry.listener.close()
 })
 
-test('of two entries the greater instance opens the one stream', async () => {
+test('of two entries, the instance with the greater name opens the only stream', async () => {
   const lesser = await startEntry('entry-1#a')
   const greater = await startEntry('entry-2#b')
   lesser.peers.connect([{ instance: 'entry-2#b', address: greater.address }])
@@ -70,7 +70,7 @@
   { end: 'dialling', own: 'entry-2#b', other: 'entry-1#a' },
   { end: 'dialled', own: 'entry-1#a', other: 'entry-2#b' }
 ]) {
-  test(`the ${end} end learns that a peer's address refuses connections`, async () => {
+  test(`the ${end} end detects that a peer's address refuses connections`, async () => {
     const gone = await startEntry(other)
     const alive = await startEntry(own)
     gone.listener.close()
@@ -80,9 +80,9 @@
     alive.listener.close()
   })
 
-  test(`the ${end} end learns that another run has taken a peer's address`, async () => {
-    // An entry is killed and its replacement listens at the same address at once. Nobody ever sees
-    // a refused connection, and the dead entry's job ids would stay without an owner.
+  test(`the ${end} end detects that another incarnation listens at a peer's address`, async () => {
+    // An entry is killed and its replacement listens at the same address at once. No process ever gets
+    // a refused connection, and the job ids of the ended entry would stay without an owner.
     const replacement = await startEntry('entry-9#new')
     const alive = await startEntry(own)
     alive.peers.connect([{ instance: other, address: replacement.address }])
@@ -93,7 +93,7 @@
   })
 }
 
-test('a peer that is there but not connected is not reported as refused', async () => {
+test('a peer that listens but has not connected is not reported as refused', async () => {
   const silent = await startEntry('entry-2#b')
   const alive = await startEntry('entry-1#a')
   alive.peers.connect([{ instance: 'entry-2#b', address: silent.address }])
@@ -131,9 +131,9 @@
   const events: Event[] = []
   const waiting: Array<(event: Event) => void> = []
   const post = (event: Event): void => {
-    const taker = waiting.shift()
-    if (taker === undefined) events.push(event)
-    else taker(event)
+    const waiter = waiting.shift()
+    if (waiter === undefined) events.push(event)
+    else waiter(event)
   }
   const next = async (): Promise<Event> => events.shift() ?? await new Promise<Event>(resolve => waiting.push(resolve))
   return { post, next, left: () => events }
--- a/packages/daemon/test/supervise.test.ts
+++ b/packages/daemon/test/supervise.test.ts
@@ -1,4 +1,4 @@
-/** How a daemon ends: by itself, by signals, by its time limit, by a fault. */
+/** How a daemon ends: by itself, by signals, by its time limit, or by an internal error. */
 import { expect } from 'earl'
 import { test } from 'node:test'
 import { pino } from 'pino'
@@ -11,10 +11,10 @@
 const NO_LIMIT = 60_000
 
 const cases = [
-  { name: 'a daemon with nothing left to do ends well', run: async () => {}, signals: 0, limit: NO_LIMIT, code: 0, logged: ['ended'], stops: 0 },
-  { name: 'a signal orders a planned stop, and the daemon ends well when it is done', signals: 1, limit: NO_LIMIT, code: 0, logged: ['planned stop ordered', 'ended'], stops: 1 },
+  { name: 'a daemon that has completed its stop exits with code 0', run: async () => {}, signals: 0, limit: NO_LIMIT, code: 0, logged: ['ended'], stops: 0 },
+  { name: 'a signal begins a planned stop, and the daemon exits with code 0 when it is complete', signals: 1, limit: NO_LIMIT, code: 0, logged: ['planned stop ordered', 'ended'], stops: 1 },
   {
-    name: 'a second signal ends a planned stop that hangs, and names what is left',
+    name: 'a second signal ends a planned stop that hangs, and the unfinished work is logged',
     hangs: true,
     signals: 2,
     limit: NO_LIMIT,
@@ -23,7 +23,7 @@
     stops: 1
   },
   {
-    name: 'the time limit ends a planned stop that hangs, and names what is left',
+    name: 'the time limit ends a planned stop that hangs, and the unfinished work is logged',
     hangs: true,
     signals: 1,
     limit: 1,
@@ -32,7 +32,7 @@
     stops: 1
   },
   {
-    name: 'a fault of the program ends it',
+    name: 'an internal error ends the daemon',
     run: async () => { throw new Error('broken') },
     signals: 0,
     limit: NO_LIMIT,
@@ -59,7 +59,7 @@
       close: async () => { seen.closed += 1 }
     }
     const ended = runUntilStopped(daemon, log, limit)
-    // Called by hand: the signal itself would reach the test runner as well.
+    // The handlers are called directly: a real signal would reach the test runner as well.
     const added = process.listeners('SIGTERM').filter(listener => !before.has(listener))
     context.after(() => forgetListeners(before))
     for (let sent = 0; sent < signals; sent += 1) added.forEach(listener => listener('SIGTERM'))
--- a/packages/daemon/test/targets.test.ts
+++ b/packages/daemon/test/targets.test.ts
@@ -39,24 +39,24 @@
   await close()
 })
 
-const ends: Array<{ name: string, answer: RequestListener, outcome: TaskOutcome, payload: string, says: string }> = [
-  { name: 'a result', answer: (_request, response) => { response.end('{"ok":1}') }, outcome: TaskOutcome.Succeeded, payload: '{"ok":1}', says: '' },
-  { name: 'status 500', answer: (_request, response) => { response.writeHead(500).end('label unreadable') }, outcome: TaskOutcome.Failed, payload: '', says: 'status 500: label unreadable' },
-  { name: 'status 404', answer: (_request, response) => { response.writeHead(404).end() }, outcome: TaskOutcome.Failed, payload: '', says: 'status 404' },
-  { name: 'a result that is not JSON', answer: (_request, response) => { response.end('<html>') }, outcome: TaskOutcome.Failed, payload: '', says: 'not JSON' },
-  { name: 'an empty result', answer: (_request, response) => { response.end() }, outcome: TaskOutcome.Failed, payload: '', says: 'not JSON' },
-  { name: 'a result above 4 MiB', answer: (_request, response) => { response.end(`"${'x'.repeat(4 * 1024 * 1024)}"`) }, outcome: TaskOutcome.Failed, payload: '', says: 'larger than' },
-  { name: 'a connection that breaks before the response', answer: request => { request.socket.destroy() }, outcome: TaskOutcome.MayHaveRun, payload: '', says: 'failed: UND_ERR_SOCKET' },
-  { name: 'a connection that breaks within the result', answer: breakWithinResult, outcome: TaskOutcome.MayHaveRun, payload: '', says: 'failed: ' }
+const ends: Array<{ name: string, answer: RequestListener, outcome: TaskOutcome, payload: string, detail: string }> = [
+  { name: 'a result', answer: (_request, response) => { response.end('{"ok":1}') }, outcome: TaskOutcome.Succeeded, payload: '{"ok":1}', detail: '' },
+  { name: 'status 500', answer: (_request, response) => { response.writeHead(500).end('label unreadable') }, outcome: TaskOutcome.Failed, payload: '', detail: 'status 500: label unreadable' },
+  { name: 'status 404', answer: (_request, response) => { response.writeHead(404).end() }, outcome: TaskOutcome.Failed, payload: '', detail: 'status 404' },
+  { name: 'a result that is not JSON', answer: (_request, response) => { response.end('<html>') }, outcome: TaskOutcome.Failed, payload: '', detail: 'not JSON' },
+  { name: 'an empty result', answer: (_request, response) => { response.end() }, outcome: TaskOutcome.Failed, payload: '', detail: 'not JSON' },
+  { name: 'a result above 4 MiB', answer: (_request, response) => { response.end(`"${'x'.repeat(4 * 1024 * 1024)}"`) }, outcome: TaskOutcome.Failed, payload: '', detail: 'larger than' },
+  { name: 'a connection that breaks before the response', answer: request => { request.socket.destroy() }, outcome: TaskOutcome.MayHaveRun, payload: '', detail: 'failed: UND_ERR_SOCKET' },
+  { name: 'a connection that breaks within the result', answer: breakWithinResult, outcome: TaskOutcome.MayHaveRun, payload: '', detail: 'failed: ' }
 ]
 
-for (const { name, answer, outcome, payload, says } of ends) {
+for (const { name, answer, outcome, payload, detail } of ends) {
   test(`${name} is ${TaskOutcome[outcome]}`, async () => {
     const { target, next, close } = await start(answer)
     target.start(1, dispatch)
     const ended = await next()
     expect([ended.task, ended.outcome, Buffer.from(ended.payload).toString()]).toEqual([1, outcome, payload])
-    expect(ended.detail).toInclude(says)
+    expect(ended.detail).toInclude(detail)
     await close()
   })
 }
@@ -121,9 +121,9 @@
   const waiting: Array<(event: Ended) => void> = []
   const post = (event: AgentEvent): void => {
     if (event.type !== 'taskEnded') return
-    const taker = waiting.shift()
-    if (taker === undefined) ended.push(event)
-    else taker(event)
+    const waiter = waiting.shift()
+    if (waiter === undefined) ended.push(event)
+    else waiter(event)
   }
   const target = new TargetClient(`http://127.0.0.1:${portOf(server)}`, slots, post, () => 0)
   const next = async (): Promise<Ended> => ended.shift() ?? await new Promise(resolve => waiting.push(resolve))
--- a/packages/links/src/defaults.ts
+++ b/packages/links/src/defaults.ts
@@ -1,19 +1,19 @@
-/** Limits and intervals of the links between processes. Durations in milliseconds, sizes in bytes. */
+/** Limits and intervals of the links between processes. Durations are in milliseconds, sizes in bytes. */
 
-/** How long a new connection and its greeting may take: round trips take 1 to 5 ms, a stalled process 100. */
+/** Timeout for a new connection and its greeting: round trips take 1 to 5 ms, a stalled process up to 100 ms. */
 export const GREETING_TIMEOUT_MILLISECONDS = 500
 
-/** First pause before a destination is dialled again; it doubles with every failure. */
+/** Initial pause before a destination is dialled again; it doubles with every failure. */
 export const MIN_REDIAL_PAUSE_MILLISECONDS = 50
 
-/** Longest pause: a process that returns is linked within it. */
+/** Maximum pause before a destination is dialled again: a process that returns is linked within this time. */
 export const MAX_REDIAL_PAUSE_MILLISECONDS = 500
 
-/** How long a destination is dialled in vain before it is forgotten, unless it is named again. */
+/** How long a destination is dialled without success before it is removed, unless it is added again. */
 export const DESTINATION_EXPIRY_MILLISECONDS = 60_000
 
-/** Largest message: a configuration of 1 MB in JSON, with room for its quotes. */
+/** Maximum message size: fits a configuration of 1 MB as a JSON string with escaped quotes. */
 export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
-/** Bytes that may wait for one peer: a link that holds more has a stuck reader and is closed. */
+/** Maximum number of bytes buffered for one peer. Beyond it the peer has stopped reading and the link is closed. */
 export const MAX_BACKLOG_BYTES = 16 * 1024 * 1024
--- a/packages/links/src/dialer.ts
+++ b/packages/links/src/dialer.ts
@@ -1,4 +1,4 @@
-/** Keeps links to a set of destinations: dials each again, with growing pauses, until it is forgotten. */
+/** Keeps links to a set of destinations: dials each one again with exponential backoff until it expires. */
 import type { Greeting } from './greeting.ts'
 import { connect } from 'node:net'
 import { DESTINATION_EXPIRY_MILLISECONDS, MIN_REDIAL_PAUSE_MILLISECONDS, MAX_REDIAL_PAUSE_MILLISECONDS } from './defaults.ts'
@@ -15,10 +15,11 @@
   link: Link | undefined
   pause: number
   timer: NodeJS.Timeout | undefined
-  /** When it was last linked or named. */
+  /** When the destination was last linked or added. */
   lastSeenAt: number
 }
 
+/** Dials destinations by address and reports their links by the name of the peer. */
 export class Dialer {
   readonly #own: Greeting
   readonly #events: DialerEvents
@@ -33,19 +34,19 @@
     this.#now = now
   }
 
-  /** Addresses that are kept, linked or not. */
+  /** Addresses of all destinations, linked or not. */
   get addresses (): string[] {
     return [...this.#destinations.keys()]
   }
 
-  /** Names of the processes with a link. */
+  /** Names of the linked processes. */
   get linked (): string[] {
     return [...this.#linked.keys()]
   }
 
   /**
-   * Takes a destination in, or remembers it for longer. The own address is none: a process that dials itself is told of a
-   * visitor, which it would dial in turn, and so on as fast as it can.
+   * Adds a destination, or extends the expiry of a known one. The address of this process itself is ignored: the process
+   * would accept its own link, dial the linked address in turn, and so on without end.
    */
   add (address: string): void {
     if (address === this.#own.address) return
@@ -67,23 +68,23 @@
     for (const destination of this.#linked.values()) destination.link?.send(message)
   }
 
-  /** Sends at once what waits for the end of the turn. */
+  /** Sends the messages of this turn at once. */
   flush (): void {
     for (const destination of this.#linked.values()) destination.link?.flush()
   }
 
-  /** Breaks a link off and dials again at once. */
+  /** Closes a link and dials its destination again after the initial pause. */
   reconnect (name: string): void {
     this.#linked.get(name)?.link?.close('renewed')
   }
 
-  /** Closes all links; what was sent on them still leaves. */
+  /** Sends the pending messages and closes all links. */
   close (): void {
     this.#stopped = true
     this.flush()
     for (const { link, timer } of this.#destinations.values()) {
       clearTimeout(timer)
-      link?.close('this process stops')
+      link?.close('process is stopping')
     }
   }
 
--- a/packages/links/src/greeting.ts
+++ b/packages/links/src/greeting.ts
@@ -1,6 +1,6 @@
-/** The first message of each end of a link: who it is. */
+/** The first message of each end of a link, which identifies its process. */
 
-/** What a process does. */
+/** Role of a process. */
 export enum PeerRole {
   Entry = 'entry',
   Agent = 'agent'
@@ -10,7 +10,7 @@
   role: PeerRole
   /** Stable name of the process. */
   name: string
-  /** This run of it. */
+  /** Incarnation of the process. */
   incarnation: string
   /** Address of its listener for links, `host:port`. */
   address: string
@@ -27,7 +27,7 @@
 
 const MAX_PORT = 65_535
 
-/** Whether a connection can be tried there, `host:port`. To a port that is no number it throws, which would end the process; port 0 stands for no listener. */
+/** Returns whether a value is a valid address, `host:port`. Connecting to a port that is not a number throws, which would end the process. Port 0 means that there is no listener. */
 export function isAddress (value: unknown): value is string {
   const port = typeof value === 'string' ? Number(ADDRESS_PATTERN.exec(value)?.[1]) : -1
   return port >= 0 && port <= MAX_PORT
--- a/packages/links/src/link.ts
+++ b/packages/links/src/link.ts
@@ -1,4 +1,4 @@
-/** A greeted connection between two processes. */
+/** A connection between two processes that exchange greetings first and messages afterwards. */
 import type { Greeting } from './greeting.ts'
 import type { Socket } from 'node:net'
 import { GREETING_TIMEOUT_MILLISECONDS } from './defaults.ts'
@@ -6,18 +6,19 @@
 import { MessageSocket } from './messagesocket.ts'
 
 export interface LinkEvents {
-  /** The other end has said who it is. */
+  /** The greeting of the other end has been received. */
   greeted: (link: Link) => void
   received: (link: Link, message: unknown) => void
-  /** Called once, also when no greeting ever came. */
+  /** Called once, also when no greeting was received. */
   closed: (link: Link, reason: string) => void
 }
 
+/** Sends its own greeting first; closes when the other end's first message is not a greeting or does not arrive in time. */
 export class Link {
   readonly #socket: MessageSocket
   readonly #events: LinkEvents
   readonly #timer: NodeJS.Timeout
-  /** Who is at the other end; undefined before its greeting. */
+  /** Greeting of the other end; undefined until it has been received. */
   peer: Greeting | undefined
 
   constructor (socket: Socket, own: Greeting, events: LinkEvents) {
@@ -34,7 +35,7 @@
     this.#socket.send(message)
   }
 
-  /** Sends at once what waits for the end of the turn. */
+  /** Sends the messages of this turn at once. */
   flush (): void {
     this.#socket.flush()
   }
--- a/packages/links/src/listener.ts
+++ b/packages/links/src/listener.ts
@@ -1,4 +1,4 @@
-/** Accepts links. A later link of the same process replaces the earlier one, which is heard no more. */
+/** Accepts links. A new link of a process replaces its earlier one; messages on the earlier link are ignored from then on. */
 import type { Greeting } from './greeting.ts'
 import type { LinkEvents } from './link.ts'
 import { createServer } from 'node:net'
@@ -31,7 +31,7 @@
     this.#events = events
   }
 
-  /** @returns settles when it listens; rejects when the address cannot be had */
+  /** @returns settles when the server listens; rejects when the address is not available */
   listen (host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject)
@@ -42,14 +42,14 @@
     })
   }
 
-  /** Link of the process with this name, if there is one. */
+  /** Returns the link of the process with this name, if there is one. */
   link (name: string): Link | undefined {
     return this.#links.get(name)
   }
 
   close (): void {
     this.#server.close()
-    for (const link of [...this.#open]) link.close('this process stops')
+    for (const link of [...this.#open]) link.close('process is stopping')
   }
 
   #accept (socket: ConstructorParameters<typeof Link>[0]): void {
@@ -58,7 +58,7 @@
 
   #greeted (link: Link): void {
     const peer = link.peer as Greeting
-    if (peer.name === this.#own.name) return link.close('a visit of this process itself')
+    if (peer.name === this.#own.name) return link.close('link from this process itself')
     const earlier = this.#links.get(peer.name)
     if (earlier !== undefined) earlier.close('replaced by a new link')
     this.#links.set(peer.name, link)
--- a/packages/links/src/messagesocket.ts
+++ b/packages/links/src/messagesocket.ts
@@ -1,15 +1,16 @@
-/** Messages as lines of JSON on one connection; all of one turn of the event loop leave together. */
+/** Sends and receives messages as lines of JSON on one connection; those of one event loop turn are sent together. */
 import type { Socket } from 'node:net'
 import { MAX_BACKLOG_BYTES, MAX_MESSAGE_BYTES } from './defaults.ts'
 
 export interface MessageSocketEvents {
   received: (message: unknown) => void
-  /** Called once. */
+  /** Called exactly once. */
   closed: (reason: string) => void
 }
 
 const NEWLINE = 10
 
+/** Closes the connection when a line is not JSON, a message exceeds the limit, or the peer stops reading. */
 export class MessageSocket {
   readonly #socket: Socket
   readonly #events: MessageSocketEvents
@@ -32,25 +33,25 @@
     return !this.#closed
   }
 
-  /** Sends a message with the others of this turn; it is dropped when the connection has ended. */
+  /** Queues a message to be sent with the others of this turn; it is dropped when the connection has ended. */
   send (message: unknown): void {
     if (this.#closed) return
     if (this.#lines.length === 0) setImmediate(() => this.flush())
     this.#lines.push(JSON.stringify(message))
   }
 
-  /** Breaks the connection off; nothing is received from it any more. */
+  /** Destroys the connection; no further message is received from it. */
   destroy (reason: string): void {
     this.#close(reason)
   }
 
-  /** Sends at once what waits for the end of the turn. */
+  /** Sends the messages of this turn at once. */
   flush (): void {
     if (this.#closed || this.#lines.length === 0) return
     const text = `${this.#lines.join('\n')}\n`
     this.#lines = []
     this.#socket.write(text)
-    if (this.#socket.writableLength > MAX_BACKLOG_BYTES) this.#close('the other end does not read')
+    if (this.#socket.writableLength > MAX_BACKLOG_BYTES) this.#close('peer does not read')
   }
 
   #read (chunk: Buffer): void {
--- a/packages/links/test/links.test.ts
+++ b/packages/links/test/links.test.ts
@@ -19,99 +19,99 @@
   return { role, name, incarnation, address: `${HOST}:${port}` }
 }
 
-async function until (holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise(resolve => setTimeout(resolve, 5))
+async function until (condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise(resolve => setTimeout(resolve, 5))
 }
 
-/** A listener of an agent, with what it hears. */
-async function agentOn (port: number): Promise<{ heard: string[], listener: Listener }> {
-  const heard: string[] = []
+/** Starts the listener of an agent and records its events. */
+async function agentOn (port: number): Promise<{ events: string[], listener: Listener }> {
+  const events: string[] = []
   const listener = new Listener(greeting(PeerRole.Agent, 'agent', port), {
-    linked: (_link, peer) => heard.push(`linked ${peer.name}#${peer.incarnation}`),
-    received: (peer, message) => heard.push(`${peer.name}: ${JSON.stringify(message)}`),
-    unlinked: peer => heard.push(`unlinked ${peer.name}`)
+    linked: (_link, peer) => events.push(`linked ${peer.name}#${peer.incarnation}`),
+    received: (peer, message) => events.push(`${peer.name}: ${JSON.stringify(message)}`),
+    unlinked: peer => events.push(`unlinked ${peer.name}`)
   })
   await listener.listen(HOST, port)
   cleanups.push(() => listener.close())
-  return { heard, listener }
+  return { events, listener }
 }
 
-function entryDialling (address: string, incarnation = '1'): { heard: string[], dialer: Dialer } {
-  const heard: string[] = []
+function entryDialling (address: string, incarnation = '1'): { events: string[], dialer: Dialer } {
+  const events: string[] = []
   const dialer = new Dialer(greeting(PeerRole.Entry, 'entry', 0, incarnation), {
-    linked: peer => heard.push(`linked ${peer.name}`),
-    received: (_peer, message) => heard.push(JSON.stringify(message)),
-    unlinked: peer => heard.push(`unlinked ${peer.name}`)
+    linked: peer => events.push(`linked ${peer.name}`),
+    received: (_peer, message) => events.push(JSON.stringify(message)),
+    unlinked: peer => events.push(`unlinked ${peer.name}`)
   }, () => performance.now())
   dialer.add(address)
   cleanups.push(() => dialer.close())
-  return { heard, dialer }
+  return { events, dialer }
 }
 
-test('both ends learn who is there, and messages go both ways in order', async () => {
+test('both ends receive the greeting of the other, and messages are delivered in order in both directions', async () => {
   const port = await ports.pick()
   const agent = await agentOn(port)
   const entry = entryDialling(`${HOST}:${port}`)
-  await until(() => entry.heard.length === 1)
+  await until(() => entry.events.length === 1)
   for (const number of [1, 2, 3]) entry.dialer.send('agent', { number })
   agent.listener.link('entry')?.send({ reply: 1 })
-  await until(() => agent.heard.length === 4 && entry.heard.length === 2)
-  expect(agent.heard).toEqual(['linked entry#1', 'entry: {"number":1}', 'entry: {"number":2}', 'entry: {"number":3}'])
-  expect(entry.heard).toEqual(['linked agent', '{"reply":1}'])
+  await until(() => agent.events.length === 4 && entry.events.length === 2)
+  expect(agent.events).toEqual(['linked entry#1', 'entry: {"number":1}', 'entry: {"number":2}', 'entry: {"number":3}'])
+  expect(entry.events).toEqual(['linked agent', '{"reply":1}'])
 })
 
-// The last order of a process that stops is one to stop tasks: nothing else would stop them as soon.
-test('what was sent before a dialer closes still arrives', async () => {
+// The last message of a process that stops may be an order to stop tasks. If it is lost, the tasks run on for longer.
+test('messages sent before a dialer closes are still delivered', async () => {
   const port = await ports.pick()
   const agent = await agentOn(port)
   const entry = entryDialling(`${HOST}:${port}`)
-  await until(() => entry.heard.length === 1)
+  await until(() => entry.events.length === 1)
   entry.dialer.send('agent', { last: true })
   entry.dialer.close()
-  await until(() => agent.heard.includes('unlinked entry'))
-  expect(agent.heard).toEqual(['linked entry#1', 'entry: {"last":true}', 'unlinked entry'])
+  await until(() => agent.events.includes('unlinked entry'))
+  expect(agent.events).toEqual(['linked entry#1', 'entry: {"last":true}', 'unlinked entry'])
 })
 
-test('a destination that is not there yet is dialled again', async () => {
+test('a destination that does not listen yet is dialled again', async () => {
   const port = await ports.pick()
   const entry = entryDialling(`${HOST}:${port}`)
   await new Promise(resolve => setTimeout(resolve, 120))
   await agentOn(port)
-  await until(() => entry.heard.includes('linked agent'))
+  await until(() => entry.events.includes('linked agent'))
 })
 
-// A connection goes silent for good. The entry dials anew; what still arrives on the old connection
-// must not be taken for a word of the present one.
+// A connection stops responding and the entry dials again. Messages that still arrive on the old
+// connection must not be attributed to the new one.
 test('a later link of a process replaces the earlier one', async () => {
   const port = await ports.pick()
   const agent = await agentOn(port)
   const first = entryDialling(`${HOST}:${port}`)
-  await until(() => first.heard.length === 1)
+  await until(() => first.events.length === 1)
   const second = entryDialling(`${HOST}:${port}`, '2')
-  await until(() => second.heard.length === 1)
+  await until(() => second.events.length === 1)
   second.dialer.send('agent', 'second')
-  await until(() => agent.heard.includes('entry: "second"'))
-  expect(agent.heard).toEqual(['linked entry#1', 'unlinked entry', 'linked entry#2', 'entry: "second"'])
+  await until(() => agent.events.includes('entry: "second"'))
+  expect(agent.events).toEqual(['linked entry#1', 'unlinked entry', 'linked entry#2', 'entry: "second"'])
   first.dialer.close()
 })
 
-test('a renewed link is dialled at once', async () => {
+test('a link that is closed for a reconnect is dialled again', async () => {
   const port = await ports.pick()
   await agentOn(port)
   const entry = entryDialling(`${HOST}:${port}`)
-  await until(() => entry.heard.length === 1)
+  await until(() => entry.events.length === 1)
   entry.dialer.reconnect('agent')
-  await until(() => entry.heard.length === 3)
-  expect(entry.heard).toEqual(['linked agent', 'unlinked agent', 'linked agent'])
+  await until(() => entry.events.length === 3)
+  expect(entry.events).toEqual(['linked agent', 'unlinked agent', 'linked agent'])
 })
 
-// An entry found its own record in the store and dialled it. It then heard of a visitor, dialled that
-// in turn, and spent its whole processor on dialling itself.
+// An entry that finds its own record in the store and dials it would accept a link from itself, dial the
+// linked address in turn, and spend all its processor time on dialling itself.
 test('a process never links to itself', async () => {
   const port = await ports.pick()
   const own = greeting(PeerRole.Entry, 'entry', port)
-  const heard: string[] = []
-  const listener = new Listener(own, { linked: (_link, peer) => heard.push(peer.name), received: () => {}, unlinked: () => {} })
+  const events: string[] = []
+  const listener = new Listener(own, { linked: (_link, peer) => events.push(peer.name), received: () => {}, unlinked: () => {} })
   await listener.listen(HOST, port)
   cleanups.push(() => listener.close())
   const dialer = new Dialer(own, { linked: () => {}, received: () => {}, unlinked: () => {} }, () => performance.now())
@@ -120,7 +120,7 @@
   expect(dialer.addresses).toEqual([])
   const elsewhere = entryDialling(`${HOST}:${port}`)
   await until(() => elsewhere.dialer.addresses.length === 0)
-  expect(heard).toEqual([])
+  expect(events).toEqual([])
 })
 
 test('a connection without a greeting is closed', async () => {
@@ -132,10 +132,10 @@
   socket.on('error', () => {})
   socket.resume()
   await until(() => closed)
-  expect(agent.heard).toEqual([])
+  expect(agent.events).toEqual([])
 })
 
-/** One message socket on an accepted connection, and the raw client at its other end. */
+/** Creates a message socket on an accepted connection, with a raw socket at the other end. */
 async function rawPair (): Promise<{ received: unknown[], closed: string[], client: Socket }> {
   const received: unknown[] = []
   const closed: string[] = []
@@ -152,7 +152,7 @@
   return { received, closed, client }
 }
 
-test('a message in several pieces is put together', async () => {
+test('a message that arrives in several chunks is reassembled', async () => {
   const { received, client } = await rawPair()
   for (const piece of ['{"a', '":', '1}\n{"b":2', '}\n']) {
     client.write(piece)
@@ -162,7 +162,7 @@
   expect(received).toEqual([{ a: 1 }, { b: 2 }])
 })
 
-test('a line that is not JSON ends the connection', async () => {
+test('a line that is not JSON closes the connection', async () => {
   const { received, closed, client } = await rawPair()
   client.write('hello\n{"a":1}\n')
   await until(() => closed.length === 1)
--- a/packages/logs/src/story.ts
+++ b/packages/logs/src/jobtimeline.ts
@@ -1,8 +1,8 @@
-/** One job's story over all processes. */
+/** Timeline of one job across all processes. */
 import type { LogLine } from './logline.ts'
 import { jobOf, processOf } from './logline.ts'
 
-/** Collects the lines of one job; holds nothing else, however long the logs are. */
+/** Collects the lines of one job. Memory use does not depend on the length of the logs. */
 export class JobTimeline {
   readonly #job: string
   readonly #lines: LogLine[] = []
@@ -15,12 +15,12 @@
     if (jobOf(line) === this.#job) this.#lines.push(line)
   }
 
-  /** Lines in the order of their times; those of one time in the order in which they were read. */
+  /** Lines ordered by time; lines with the same time stay in the order in which they were read. */
   get lines (): readonly LogLine[] {
     return [...this.#lines].sort((one, other) => one.at - other.at)
   }
 
-  /** The story for a person: milliseconds from its first line, the process, what it decided and why. */
+  /** Returns the timeline as text lines: milliseconds since the first line, process, decision and fields. */
   text (): string[] {
     const { lines } = this
     const begin = lines[0]?.at ?? 0
--- a/packages/logs/src/logline.ts
+++ b/packages/logs/src/logline.ts
@@ -1,20 +1,20 @@
-/** One line of a process's log, read. */
+/** Parses the lines of a process's decision log. */
 
 export interface LogLine {
   /** Milliseconds since 1970, by the clock of the machine that wrote it. */
   at: number
-  /** The process and its run, `name#incarnation`. */
+  /** The process and its incarnation, `name#incarnation`. */
   instance: string
   what: string
-  /** What the line says beside that. */
+  /** All other fields of the line. */
   fields: Readonly<Record<string, unknown>>
 }
 
-/** Fields that every line has, and that say nothing of the decision. */
+/** Fields that every line has and that do not describe the decision. */
 const COMMON = new Set(['level', 'time', 'instance', 'role', 'msg'])
 
 /**
- * Reads a line; undefined when it is not one of ours. What a collector wrote before the object is passed over.
+ * Parses a line; undefined when it is not a line of the decision log. Text that a log collector has put before the object is skipped.
  */
 export function parseLogLine (text: string): LogLine | undefined {
   const start = text.indexOf('{')
@@ -27,14 +27,14 @@
   return { at, instance, what: msg, fields: Object.fromEntries(Object.entries(value).filter(([name]) => !COMMON.has(name))) }
 }
 
-/** The job that a line is about; empty when it is about none. */
+/** Returns the job that a line is about; empty when it is about none. */
 export function jobOf ({ fields }: LogLine): string {
   if (typeof fields['job'] === 'string') return fields['job']
   const { task } = fields
   return typeof task === 'string' ? task.split('.', 1)[0] as string : ''
 }
 
-/** Name of the process without its run. */
+/** Returns the name of the process without its incarnation. */
 export function processOf ({ instance }: LogLine): string {
   return instance.split('#', 1)[0] as string
 }
--- a/packages/logs/src/losses.ts
+++ b/packages/logs/src/losses.ts
@@ -1,23 +1,23 @@
-/** Which jobs were late, refused or failed, when, and for which cause, from the logs of the entries. */
+/** Finds the jobs that were late, refused or failed, with time and cause, in the decision logs of the entries. */
 import type { LogLine } from './logline.ts'
 import { jobOf, processOf } from './logline.ts'
 
-/** How a job was lost to its caller. */
+/** How a job was lost for its caller. */
 export enum Loss {
   Late = 'late',
   Refused = 'refused',
   Failed = 'failed',
-  /** Its entry ended, or its end is not in the logs. */
+  /** The job's entry ended, or the job's end is not in the logs. */
   Unfinished = 'unfinished'
 }
 
-/** What stands against a job that was not late for any other cause. */
+/** Cause of a late job when the entry's log contains no other cause. */
 export enum LossCause {
-  /** It waited for room before its first task was placed. */
+  /** The job waited for free capacity before its first task was placed. */
   WaitedForCapacity = 'waitedForRoom',
-  /** Some of its tasks had no room when the first were placed. */
+  /** There was no capacity for some of its tasks when the first ones were placed. */
   TasksUnplaced = 'tasksLeftOver',
-  /** Nothing went wrong: it ran longer than was expected of it. */
+  /** No failure is recorded: the job ran longer than expected. */
   RanLong = 'ranLong'
 }
 
@@ -25,38 +25,39 @@
   job: string
   queue: string
   loss: Loss
-  /** A cause of the entry's log, or of `LossCause`. */
+  /** A cause from the entry's log, or a `LossCause`. */
   cause: string
-  /** Milliseconds since 1970 at which it was taken. */
+  /** Time at which the job was accepted, in milliseconds since 1970. */
   at: number
   entry: string
-  /** Agents at which its tasks came to nothing. */
+  /** Agents at which starts of its tasks failed. */
   agents: string[]
 }
 
-/** What is kept of a job until it ends. */
+/** State of a job whose end has not been read yet. */
 interface OpenJob {
   at: number
   queue: string
   entry: string
   hadUnplacedTasks: boolean
-  /** Starts that came to nothing, by cause. */
+  /** Number of failed starts, by cause. */
   troubles: Map<string, number>
   agents: Set<string>
 }
 
-/** Jobs kept at one time; the oldest are counted as unfinished beyond it, so that memory is bounded whatever the logs hold. */
+/** Maximum number of open jobs. Beyond it the oldest is counted as unfinished, so that memory is bounded whatever the logs contain. */
 const MAX_OPEN_JOBS = 100_000
 
-/** A wait for room below this is not what made a job late, in milliseconds. */
+/** Maximum wait for capacity that is not considered the cause of a late job, in milliseconds. */
 const MAX_HARMLESS_WAIT_MILLISECONDS = 20
 
 type Handler = (line: LogLine, job: string) => void
 
-export class Losses {
+/** Consumes log lines one by one and reports each lost job. */
+export class LossCollector {
   readonly #open = new Map<string, OpenJob>()
   readonly #onLoss: (lost: LostJob) => void
-  /** Jobs that ended in time. */
+  /** Number of jobs that ended in time. */
   inTime = 0
 
   readonly #handlers: Readonly<Record<string, Handler>> = {
@@ -76,7 +77,7 @@
     'job ended': (line, job) => this.#ended(line, job)
   }
 
-  /** @param onLoss is told of each job that was lost */
+  /** @param onLoss called for each lost job */
   constructor (onLoss: (lost: LostJob) => void) {
     this.#onLoss = onLoss
   }
@@ -86,15 +87,15 @@
     if (job !== '') this.#handlers[line.what]?.(line, job)
   }
 
-  /** After the last line: what has not ended by then is unfinished. */
+  /** Must be called after the last line: reports all jobs that have not ended as unfinished. */
   finish (): void {
     for (const [job, open] of this.#open) this.#unfinished(job, open)
     this.#open.clear()
   }
 
   #taken (line: LogLine, job: string): void {
-    const before = this.#open.get(job)
-    if (before !== undefined) this.#unfinished(job, before)
+    const earlier = this.#open.get(job)
+    if (earlier !== undefined) this.#unfinished(job, earlier)
     this.#open.delete(job)
     this.#open.set(job, { at: line.at, queue: String(line.fields['queue']), entry: processOf(line), hadUnplacedTasks: false, troubles: new Map(), agents: new Set() })
     if (this.#open.size <= MAX_OPEN_JOBS) return
@@ -127,7 +128,7 @@
   }
 }
 
-/** A target that was full costs a few milliseconds only, so any other trouble goes before it. */
+/** Returns the most frequent cause of failed starts. Full targets are left out, as they cost only a few milliseconds. */
 function mostFrequentFailure (open: OpenJob | undefined): string | undefined {
   const troubles = [...open?.troubles ?? []].filter(([cause]) => cause !== 'full').sort((one, other) => other[1] - one[1])
   return troubles[0]?.[0]
--- a/packages/logs/src/tally.ts
+++ b/packages/logs/src/tally.ts
@@ -1,4 +1,4 @@
-/** Counts of lost jobs, in bounded memory. */
+/** Counts lost jobs by cause, time, entry and agent, in bounded memory. */
 import type { LostJob } from './losses.ts'
 
 export interface CountedKey {
@@ -6,7 +6,7 @@
   count: number
 }
 
-/** Lost jobs named as examples of each cause. */
+/** Maximum number of lost jobs that are kept as examples of each cause. */
 const MAX_EXAMPLES = 3
 
 const MILLISECONDS_PER_SECOND = 1000
@@ -30,12 +30,12 @@
     if (examples.length < MAX_EXAMPLES) this.#examples.set(what, [...examples, job])
   }
 
-  /** Losses with their causes, most first. */
+  /** Losses with their causes, most frequent first. */
   get byCause (): Array<CountedKey & { examples: string[] }> {
     return ranked(this.#byCause).map(row => ({ ...row, examples: this.#examples.get(row.key) ?? [] }))
   }
 
-  /** In the order of time. */
+  /** Losses by second, in order of time. */
   get bySecond (): CountedKey[] {
     return ranked(this.#bySecond).sort((one, other) => one.key < other.key ? -1 : 1)
   }
@@ -44,7 +44,7 @@
     return ranked(this.#byEntry)
   }
 
-  /** Agents at which tasks of lost jobs came to nothing. */
+  /** Agents at which starts of tasks of lost jobs failed. */
   get byAgent (): CountedKey[] {
     return ranked(this.#byAgent)
   }
