--- a/packages/daemon/src/dialer.ts
+++ b/packages/daemon/src/dialer.ts
@@ -1,65 +1,65 @@
-/** Keeps a connection to each wanted instance, with growing pauses between failures. */
+/** Keeps a connection to each of a set of instances; reconnects with exponential backoff. */
 import type { Instance } from '@amaranthmast/coordination/messages'
 import { setTimeout as pause } from 'node:timers/promises'
-import { RECONNECT_FIRST_MILLISECONDS, RECONNECT_LAST_MILLISECONDS } from './defaults.ts'
+import { RECONNECT_BASE_PAUSE_MILLISECONDS, MAX_RECONNECT_PAUSE_MILLISECONDS } from './defaults.ts'
 
-/** Where an instance listens. */
+/** An instance and the address at which it listens. */
 export interface Destination {
   instance: Instance
   address: string
 }
 
 /**
- * One attempt: settles when the connection has failed or ended, and never rejects.
+ * One connection attempt: settles when the connection has failed or ended, and never rejects.
  *
- * @returns whether the connection had been up
+ * @returns whether the connection was established
  */
-export type Attempt = (destination: Destination, signal: AbortSignal) => Promise<boolean>
+export type ConnectionAttempt = (destination: Destination, signal: AbortSignal) => Promise<boolean>
 
-/** Dials what is wanted, and again when it fails or ends. */
+/** Dials each destination, and again when its connection fails or ends. */
 export class Dialer {
-  readonly #attempt: Attempt
+  readonly #attempt: ConnectionAttempt
   readonly #random: () => number
   readonly #now: () => number
-  readonly #wanted = new Map<Instance, AbortController>()
+  readonly #destinations = new Map<Instance, AbortController>()
 
-  constructor (attempt: Attempt, random: () => number, now: () => number) {
+  constructor (attempt: ConnectionAttempt, random: () => number, now: () => number) {
     this.#attempt = attempt
     this.#random = random
     this.#now = now
   }
 
-  /** Starts dialling what is new in the list and stops what is no longer in it. */
-  want (destinations: readonly Destination[]): void {
+  /** Starts dialling the destinations that are new in the list and stops dialling those that are no longer in it. */
+  setDestinations (destinations: readonly Destination[]): void {
     const instances = new Set(destinations.map(({ instance }) => instance))
-    for (const [instance, controller] of this.#wanted) {
+    for (const [instance, controller] of this.#destinations) {
       if (instances.has(instance)) continue
-      this.#wanted.delete(instance)
+      this.#destinations.delete(instance)
       controller.abort()
     }
     for (const destination of destinations) {
-      if (this.#wanted.has(destination.instance)) continue
+      if (this.#destinations.has(destination.instance)) continue
       const controller = new AbortController()
-      this.#wanted.set(destination.instance, controller)
-      this.#keep(destination, controller.signal)
+      this.#destinations.set(destination.instance, controller)
+      this.#keepConnected(destination, controller.signal)
     }
   }
 
-  async #keep (destination: Destination, signal: AbortSignal): Promise<void> {
+  async #keepConnected (destination: Destination, signal: AbortSignal): Promise<void> {
     let failures = 0
     while (!signal.aborted) {
       const started = this.#now()
       const wasUp = await this.#attempt(destination, signal)
-      // A link that breaks as soon as it is up is a failure too, or it would be dialled without pause.
-      const lasted = this.#now() - started >= RECONNECT_LAST_MILLISECONDS
+      // A connection that breaks soon after it was established counts as a failure, or it would be dialled without backoff.
+      const lasted = this.#now() - started >= MAX_RECONNECT_PAUSE_MILLISECONDS
       failures = wasUp && lasted ? 0 : failures + 1
       await pause(this.#backoff(failures), undefined, { signal }).catch(() => {})
     }
   }
 
-  /** Half of the pause is random, so that those who lost the same peer do not come back together. */
+  /** Returns the pause in milliseconds. Half of it is random, so that processes which lost the same peer do not reconnect at the same time. */
   #backoff (failures: number): number {
-    const longest = Math.min(RECONNECT_FIRST_MILLISECONDS * 2 ** failures, RECONNECT_LAST_MILLISECONDS)
+    const longest = Math.min(RECONNECT_BASE_PAUSE_MILLISECONDS * 2 ** failures, MAX_RECONNECT_PAUSE_MILLISECONDS)
     return longest * (0.5 + this.#random() / 2)
   }
 }
--- a/packages/daemon/src/distribution.ts
+++ b/packages/daemon/src/distribution.ts
@@ -1,24 +1,24 @@
-/** One distribution of measured values. */
+/** Distribution of measured values, kept in a histogram. */
 import type { Histogram } from 'hdr-histogram-js'
 import Int32HistogramModule from 'hdr-histogram-js/dist/Int32Histogram.js'
-import { HISTOGRAM_LIMIT } from './defaults.ts'
+import { MAX_HISTOGRAM_VALUE } from './defaults.ts'
 import type { Labels, Summary } from './exposition.ts'
 
-/** The histograms hold whole numbers: hundredths keep short waits and small ratios apart. */
-const PARTS = 100
+/** Factor by which values are scaled before recording: histograms hold integers, and hundredths keep short waits and small ratios distinct. */
+const SCALE = 100
 
 const SIGNIFICANT_DIGITS = 2
 const LOWEST_VALUE = 1
 const FIRST_HIGHEST_VALUE = 2
 
 /**
- * The one class of the library that is used. Its main module also loads a compression library and
- * compiles a WebAssembly variant, which cost an idle entry megabytes. As the class comes from a
- * CommonJS module, it may stand one level deeper than its types say.
+ * Imported directly: the main module of the library also loads a compression library and compiles a
+ * WebAssembly variant, which cost an idle entry several megabytes. As the class comes from a
+ * CommonJS module, it may be nested one level deeper than its types state.
  */
 const Int32Histogram = (Int32HistogramModule as unknown as { default?: typeof Int32HistogramModule }).default ?? Int32HistogramModule
 
-/** One distribution for people and tools. */
+/** Summary of one distribution for the status page. */
 export interface DistributionFigures {
   count: number
   mean: number
@@ -33,12 +33,12 @@
   #sum = 0
 
   record (value: number): void {
-    const bounded = Math.min(Math.max(value, 0), HISTOGRAM_LIMIT)
-    this.#histogram.recordValue(Math.round(bounded * PARTS))
+    const bounded = Math.min(Math.max(value, 0), MAX_HISTOGRAM_VALUE)
+    this.#histogram.recordValue(Math.round(bounded * SCALE))
     this.#sum += bounded
   }
 
-  /** @param unit divides the values */
+  /** @param unit divisor applied to the values */
   summary (labels: Labels, quantiles: readonly number[], unit: number): Summary {
     return {
       labels,
@@ -56,16 +56,16 @@
       p50: this.#valueAt(0.5),
       p90: this.#valueAt(0.9),
       p99: this.#valueAt(0.99),
-      max: maxValue / PARTS
+      max: maxValue / SCALE
     }
   }
 
   #valueAt (quantile: number): number {
-    return this.#histogram.getValueAtPercentile(quantile * 100) / PARTS
+    return this.#histogram.getValueAtPercentile(quantile * 100) / SCALE
   }
 }
 
-/** A histogram starts small and grows with the values that it gets. */
+/** Creates a histogram that starts small and grows with the recorded values. */
 function newHistogram (): Histogram {
   const histogram = new Int32Histogram(LOWEST_VALUE, FIRST_HIGHEST_VALUE, SIGNIFICANT_DIGITS)
   histogram.autoResize = true
--- a/packages/daemon/src/seeds.ts
+++ b/packages/daemon/src/seeds.ts
@@ -1,7 +1,7 @@
 /**
- * Views from entries that an agent's settings name, for when the key-value service cannot be read.
- * What such an entry says is taken as the view of any entry is: an old one sends the agent to
- * entries that know a newer one, and it takes no work before every member of its view has answered.
+ * Requests the view from the entries in an agent's settings when the key-value service cannot be read.
+ * Such a view is handled as one from any other entry: an old view leads the agent to entries that
+ * have a newer one, and the agent accepts no work before every member of its view has answered.
  */
 import type { Instance, View } from '@amaranthmast/coordination/messages'
 import { agentFrame, entryFrame, entryMessages } from '@amaranthmast/protocol/codec'
@@ -11,27 +11,27 @@
 import type { OpenStream } from './innerclient.ts'
 import { runStream } from './innerclient.ts'
 
-/** Header of an agent's stream that only asks for the view, of whichever entry listens there. */
+/** Header of an agent's stream that only requests the view, from whichever entry listens at the address. */
 const SEED_HEADER = 'amaranthmast-seed'
 
 const openStream: OpenStream<AgentFrame, EntryFrame> = (client, frames, options) => client.agent(frames, options)
 
-/** Whether a stream only asks for the view. */
-export function asksForView (context: HandlerContext): boolean {
+/** Returns whether a stream only requests the view. */
+export function isViewRequest (context: HandlerContext): boolean {
   return context.requestHeader.has(SEED_HEADER)
 }
 
-/** Answers such a stream: one greeting, and the end. */
-export async function * tellView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
+/** Answers a view request with one `hello` message and ends the stream. */
+export async function * sendView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
   yield entryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
 }
 
-/** The entries that an agent may ask. */
+/** The entries from which an agent may request the view. */
 export class Seeds {
   readonly #environment: Environment
   readonly #addresses: readonly string[]
   readonly #stopped = new AbortController()
-  #asking = false
+  #requesting = false
 
   /** @param addresses URLs of inner listeners */
   constructor (environment: Environment, addresses: readonly string[]) {
@@ -40,31 +40,31 @@
   }
 
   /**
-   * The view of the first that answers, beginning with any of them, so that agents which start
-   * together do not all ask the same. Undefined when none does, or while another call asks.
+   * Returns the view of the first entry that answers. The first one tried is random, so that agents which
+   * start together do not all ask the same entry. Undefined when none answers, or while another call is in progress.
    */
   async view (): Promise<View | undefined> {
-    if (this.#asking) return undefined
-    this.#asking = true
+    if (this.#requesting) return undefined
+    this.#requesting = true
     const first = Math.floor(this.#environment.random() * this.#addresses.length)
     const addresses = [...this.#addresses.slice(first), ...this.#addresses.slice(0, first)]
     let view: View | undefined
-    for (const address of addresses) view ??= await this.#ask(address)
-    this.#asking = false
+    for (const address of addresses) view ??= await this.#request(address)
+    this.#requesting = false
     return view
   }
 
-  /** Asks no more. */
+  /** Aborts the request in progress. */
   stop (): void {
     this.#stopped.abort()
   }
 
-  async #ask (address: string): Promise<View | undefined> {
+  async #request (address: string): Promise<View | undefined> {
     const answered = new AbortController()
     const signal = AbortSignal.any([answered.signal, this.#stopped.signal])
     const dial = { own: this.#environment.instance, open: openStream }
     let view: View | undefined
-    await runStream(dial, { instance: '', address }, signal, greeting(), { [SEED_HEADER]: '1' }, frame => {
+    await runStream(dial, { instance: '', address }, signal, emptyFrame(), { [SEED_HEADER]: '1' }, frame => {
       view ??= viewOf(frame)
       if (view !== undefined) answered.abort()
     })
@@ -73,11 +73,11 @@
 }
 
 /** The transport sends its headers only together with a first frame. */
-async function * greeting (): AsyncGenerator<AgentFrame> {
+async function * emptyFrame (): AsyncGenerator<AgentFrame> {
   yield agentFrame([])
 }
 
-/** An entry that has not joined yet has nothing to tell. */
+/** Returns the view in a frame; undefined when the entry has not joined yet and its view is empty. */
 function viewOf (frame: EntryFrame): View | undefined {
   const views = entryMessages(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
   return views.find(({ members }) => members.length > 0)
--- a/packages/daemon/test/targets.test.ts
+++ b/packages/daemon/test/targets.test.ts
@@ -1,4 +1,4 @@
-/** Calls to a target, and what is said of each way in which one ends. */
+/** Calls to a target, and the outcome that is reported for each way in which a call ends. */
 import type { AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import type { Dispatch } from '@amaranthmast/coordination/messages'
 import { TaskOutcome } from '@amaranthmast/coordination/messages'
@@ -7,7 +7,7 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { test } from 'node:test'
-import { Target } from '../src/targets.ts'
+import { TargetClient } from '../src/targets.ts'
 
 type Ended = Extract<AgentEvent, { type: 'taskEnded' }>
 
@@ -27,7 +27,7 @@
   needs: { accelerators: 0, memoryMegabytes: 0 }
 }
 
-test('the target gets the payload and the names of the task', async () => {
+test('the target receives the payload and the identifiers of the task', async () => {
   const received: unknown[] = []
   const { target, next, close } = await start(async (request, response) => {
     received.push(request.url, await bodyOf(request), ...NAMES.map(name => request.headers[name]))
@@ -39,24 +39,24 @@
   await close()
 })
 
-const ends: Array<{ name: string, answer: RequestListener, outcome: TaskOutcome, payload: string, says: string }> = [
-  { name: 'a result', answer: (_request, response) => { response.end('{"ok":1}') }, outcome: TaskOutcome.Succeeded, payload: '{"ok":1}', says: '' },
-  { name: 'status 500', answer: (_request, response) => { response.writeHead(500).end('label unreadable') }, outcome: TaskOutcome.Failed, payload: '', says: 'status 500: label unreadable' },
-  { name: 'status 404', answer: (_request, response) => { response.writeHead(404).end() }, outcome: TaskOutcome.Failed, payload: '', says: 'status 404' },
-  { name: 'a result that is not JSON', answer: (_request, response) => { response.end('<html>') }, outcome: TaskOutcome.Failed, payload: '', says: 'not JSON' },
-  { name: 'an empty result', answer: (_request, response) => { response.end() }, outcome: TaskOutcome.Failed, payload: '', says: 'not JSON' },
-  { name: 'a result above 4 MiB', answer: (_request, response) => { response.end(`"${'x'.repeat(4 * 1024 * 1024)}"`) }, outcome: TaskOutcome.Failed, payload: '', says: 'larger than' },
-  { name: 'a connection that breaks before the response', answer: request => { request.socket.destroy() }, outcome: TaskOutcome.MayHaveRun, payload: '', says: 'failed: UND_ERR_SOCKET' },
-  { name: 'a connection that breaks within the result', answer: breakWithinResult, outcome: TaskOutcome.MayHaveRun, payload: '', says: 'failed: ' }
+const ends: Array<{ name: string, answer: RequestListener, outcome: TaskOutcome, payload: string, detail: string }> = [
+  { name: 'a result', answer: (_request, response) => { response.end('{"ok":1}') }, outcome: TaskOutcome.Succeeded, payload: '{"ok":1}', detail: '' },
+  { name: 'status 500', answer: (_request, response) => { response.writeHead(500).end('label unreadable') }, outcome: TaskOutcome.Failed, payload: '', detail: 'status 500: label unreadable' },
+  { name: 'status 404', answer: (_request, response) => { response.writeHead(404).end() }, outcome: TaskOutcome.Failed, payload: '', detail: 'status 404' },
+  { name: 'a result that is not JSON', answer: (_request, response) => { response.end('<html>') }, outcome: TaskOutcome.Failed, payload: '', detail: 'not JSON' },
+  { name: 'an empty result', answer: (_request, response) => { response.end() }, outcome: TaskOutcome.Failed, payload: '', detail: 'not JSON' },
+  { name: 'a result above 4 MiB', answer: (_request, response) => { response.end(`"${'x'.repeat(4 * 1024 * 1024)}"`) }, outcome: TaskOutcome.Failed, payload: '', detail: 'larger than' },
+  { name: 'a connection that breaks before the response', answer: request => { request.socket.destroy() }, outcome: TaskOutcome.MayHaveRun, payload: '', detail: 'failed: UND_ERR_SOCKET' },
+  { name: 'a connection that breaks within the result', answer: breakWithinResult, outcome: TaskOutcome.MayHaveRun, payload: '', detail: 'failed: ' }
 ]
 
-for (const { name, answer, outcome, payload, says } of ends) {
+for (const { name, answer, outcome, payload, detail } of ends) {
   test(`${name} is ${TaskOutcome[outcome]}`, async () => {
     const { target, next, close } = await start(answer)
     target.start(1, dispatch)
     const ended = await next()
     expect([ended.task, ended.outcome, Buffer.from(ended.payload).toString()]).toEqual([1, outcome, payload])
-    expect(ended.detail).toInclude(says)
+    expect(ended.detail).toInclude(detail)
     await close()
   })
 }
@@ -69,7 +69,7 @@
   await close()
 })
 
-test('a call broken off while the target works may have run', async () => {
+test('a task whose call is aborted while the target works may have run', async () => {
   const { target, next, close, arrived } = await start(() => {})
   target.start(1, dispatch)
   await arrived
@@ -78,10 +78,10 @@
   await close()
 })
 
-test('a call broken off before its connection is up never reaches the target', async () => {
-  // A wave of cancellations meets a task that was started a moment ago. If the call were reported
-  // as not started and still went out afterwards, the task would run although the caller was told
-  // that it did not.
+test('a call aborted before its connection is established never reaches the target', async () => {
+  // Many cancellations at once include a task that was started a moment ago. If the call were
+  // reported as not started but still sent afterwards, the task would run although its caller was
+  // answered that it did not.
   let requests = 0
   const { target, next, close } = await start((_request, response) => { requests += 1; response.end('1') })
   target.start(1, dispatch)
@@ -92,7 +92,7 @@
   await close()
 })
 
-test('a failed call is not made again', async () => {
+test('a failed call is not retried', async () => {
   let requests = 0
   const { target, next, close } = await start(request => { requests += 1; request.socket.destroy() })
   target.start(1, dispatch)
@@ -121,11 +121,11 @@
   const waiting: Array<(event: Ended) => void> = []
   const post = (event: AgentEvent): void => {
     if (event.type !== 'taskEnded') return
-    const taker = waiting.shift()
-    if (taker === undefined) ended.push(event)
-    else taker(event)
+    const waiter = waiting.shift()
+    if (waiter === undefined) ended.push(event)
+    else waiter(event)
   }
-  const target = new Target(`http://127.0.0.1:${portOf(server)}`, slots, post, () => 0)
+  const target = new TargetClient(`http://127.0.0.1:${portOf(server)}`, slots, post, () => 0)
   const next = async (): Promise<Ended> => ended.shift() ?? await new Promise(resolve => waiting.push(resolve))
   const close = async (): Promise<void> => {
     await target.close()
--- a/packages/links/src/dialer.ts
+++ b/packages/links/src/dialer.ts
@@ -1,7 +1,7 @@
-/** Keeps links to a set of destinations: dials each again, with growing pauses, until it is forgotten. */
+/** Keeps links to a set of destinations: dials each one again with exponential backoff until it expires. */
 import type { Greeting } from './greeting.ts'
 import { connect } from 'node:net'
-import { FORGET_MILLISECONDS, REDIAL_FIRST_MILLISECONDS, REDIAL_LAST_MILLISECONDS } from './defaults.ts'
+import { DESTINATION_EXPIRY_MILLISECONDS, MIN_REDIAL_PAUSE_MILLISECONDS, MAX_REDIAL_PAUSE_MILLISECONDS } from './defaults.ts'
 import { Link } from './link.ts'
 
 export interface DialerEvents {
@@ -15,10 +15,11 @@
   link: Link | undefined
   pause: number
   timer: NodeJS.Timeout | undefined
-  /** When it was last linked or named. */
-  knownAt: number
+  /** When the destination was last linked or added. */
+  lastSeenAt: number
 }
 
+/** Dials destinations by address and reports their links by the name of the peer. */
 export class Dialer {
   readonly #own: Greeting
   readonly #events: DialerEvents
@@ -33,28 +34,28 @@
     this.#now = now
   }
 
-  /** Addresses that are kept, linked or not. */
+  /** Addresses of all destinations, linked or not. */
   get addresses (): string[] {
     return [...this.#destinations.keys()]
   }
 
-  /** Names of the processes with a link. */
+  /** Names of the linked processes. */
   get linked (): string[] {
     return [...this.#linked.keys()]
   }
 
   /**
-   * Takes a destination in, or remembers it for longer. The own address is none: a process that dials itself is told of a
-   * visitor, which it would dial in turn, and so on as fast as it can.
+   * Adds a destination, or extends the expiry of a known one. The address of this process itself is ignored: the process
+   * would accept its own link, dial the linked address in turn, and so on without end.
    */
   add (address: string): void {
     if (address === this.#own.address) return
     const known = this.#destinations.get(address)
     if (known !== undefined) {
-      known.knownAt = this.#now()
+      known.lastSeenAt = this.#now()
       return
     }
-    const destination: Destination = { address, link: undefined, pause: REDIAL_FIRST_MILLISECONDS, timer: undefined, knownAt: this.#now() }
+    const destination: Destination = { address, link: undefined, pause: MIN_REDIAL_PAUSE_MILLISECONDS, timer: undefined, lastSeenAt: this.#now() }
     this.#destinations.set(address, destination)
     this.#dial(destination)
   }
@@ -67,23 +68,23 @@
     for (const destination of this.#linked.values()) destination.link?.send(message)
   }
 
-  /** Sends at once what waits for the end of the turn. */
+  /** Sends the messages of this turn at once. */
   flush (): void {
     for (const destination of this.#linked.values()) destination.link?.flush()
   }
 
-  /** Breaks a link off and dials again at once. */
-  renew (name: string): void {
+  /** Closes a link and dials its destination again after the initial pause. */
+  reconnect (name: string): void {
     this.#linked.get(name)?.link?.close('renewed')
   }
 
-  /** Closes all links; what was sent on them still leaves. */
+  /** Sends the pending messages and closes all links. */
   close (): void {
     this.#stopped = true
     this.flush()
     for (const { link, timer } of this.#destinations.values()) {
       clearTimeout(timer)
-      link?.close('this process stops')
+      link?.close('process is stopping')
     }
   }
 
@@ -105,8 +106,8 @@
       link.close('own address')
       return
     }
-    destination.pause = REDIAL_FIRST_MILLISECONDS
-    destination.knownAt = this.#now()
+    destination.pause = MIN_REDIAL_PAUSE_MILLISECONDS
+    destination.lastSeenAt = this.#now()
     this.#linked.set(peer.name, destination)
     this.#events.linked(peer, destination.address)
   }
@@ -124,11 +125,11 @@
 
   #redial (destination: Destination): void {
     if (this.#stopped || !this.#destinations.has(destination.address)) return
-    if (this.#now() - destination.knownAt > FORGET_MILLISECONDS) {
+    if (this.#now() - destination.lastSeenAt > DESTINATION_EXPIRY_MILLISECONDS) {
       this.#destinations.delete(destination.address)
       return
     }
     destination.timer = setTimeout(() => this.#dial(destination), destination.pause)
-    destination.pause = Math.min(REDIAL_LAST_MILLISECONDS, destination.pause * 2)
+    destination.pause = Math.min(MAX_REDIAL_PAUSE_MILLISECONDS, destination.pause * 2)
   }
 }
