--- a/packages/configuration/src/defaults.ts
+++ b/packages/configuration/src/defaults.ts
@@ -1,22 +1,25 @@
-/** Limits and intervals of the exchange of configurations between entries. Durations in milliseconds, sizes in characters. */
+/** Limits and intervals of the configuration exchange between entries. Durations are in milliseconds, sizes in characters. */
 
-/** How often an entry tells some of the others its version, for those that missed the news of it. */
-export const TELL_MILLISECONDS = 400
+/** Interval at which an entry sends its version to some of its peers, in case they missed the update. */
+export const ANNOUNCE_INTERVAL_MILLISECONDS = 400
 
-/** How many of the others are told at a time, in turn: messages must not grow with the square of the entries. */
-export const TOLD_AT_ONCE = 4
+/** Number of peers per announcement, selected round-robin, so that messages do not grow with the square of the number of entries. */
+export const PEERS_PER_ANNOUNCEMENT = 4
 
-/** How long an entry that hears of a newer version waits for its own watch, which hears of a change at the same time. */
-export const FETCH_AFTER_MILLISECONDS = 100
+/** Delay before an entry fetches a newer version from a peer. Its own watch usually delivers the same change in this time. */
+export const FETCH_DELAY_MILLISECONDS = 100
 
-/** Age of the last confirmation from which the store counts as silent: then nothing is waited for, and others are asked what they know. */
-export const UNCONFIRMED_MILLISECONDS = 1500
+/**
+ * Age of the last confirmation above which the store counts as unresponsive. The entry then fetches newer versions without
+ * delay and asks its peers for confirmations.
+ */
+export const MAX_CONFIRMATION_AGE_MILLISECONDS = 1500
 
-/** A part that has not come by then is asked of another entry: a small link carries it in a twentieth of that. */
-export const PART_LIMIT_MILLISECONDS = 1000
+/** Timeout for one part of a document; then the document is fetched from another peer. A slow link transfers a part in a twentieth of this. */
+export const PART_TIMEOUT_MILLISECONDS = 1000
 
-/** A part of a document: it holds up the other messages of a small link for 25 ms. */
+/** Size of one part of a document. It delays other messages on a slow link by 25 ms. */
 export const PART_CHARACTERS = 48 * 1024
 
-/** Largest document that is unpacked; values of the store have at most a megabyte. */
-export const DOCUMENT_LIMIT = 4 * 1024 * 1024
+/** Maximum size of a document, packed or unpacked. Values in the store have at most 1 MB. */
+export const MAX_DOCUMENT_SIZE = 4 * 1024 * 1024
--- a/packages/configuration/src/exchange.ts
+++ b/packages/configuration/src/exchange.ts
@@ -1,67 +1,73 @@
 /**
- * How entries keep each other's configuration current.
+ * Exchanges configurations between entries, so that an entry gets updates even if the store rejects its reads or is slow.
  *
- * Each entry reads the store itself; the others are there for one that the store turns away, or that is served late. Every
- * transfer is asked for by the entry that lacks it, from one other entry at a time and part by part, so that what is sent to
- * a small link never exceeds what it carries.
+ * Each entry normally reads the store itself. An entry that lacks the newest configuration requests it from one peer at a
+ * time and part by part, so that transfers never exceed the capacity of a slow link.
  */
 import type { ConfigurationMessage, VersionMessage } from './messages.ts'
-import { FETCH_AFTER_MILLISECONDS, PART_CHARACTERS, TELL_MILLISECONDS, TOLD_AT_ONCE, UNCONFIRMED_MILLISECONDS } from './defaults.ts'
-import { Fetch } from './fetch.ts'
+import { FETCH_DELAY_MILLISECONDS, PART_CHARACTERS, ANNOUNCE_INTERVAL_MILLISECONDS, PEERS_PER_ANNOUNCEMENT, MAX_CONFIRMATION_AGE_MILLISECONDS } from './defaults.ts'
+import { DocumentFetch } from './fetch.ts'
 import { pack, unpack } from './packing.ts'
 
-/** Where a configuration came from. */
+/** Source of an adopted configuration. */
 export enum ConfigurationSource {
   Store = 'store',
   Entry = 'entry'
 }
 
+/** Input of the exchange. */
 export type ExchangeEvent<Configuration> =
-  /** The store has a configuration, read now. */
+  /** A configuration was read from the store. */
   | { type: 'stored', configuration: Configuration, document: string }
-  /** The store has confirmed that nothing newer was there at a time. */
+  /** The store confirmed that it had no newer configuration at time `at`. */
   | { type: 'confirmed', at: number }
-  /** The store may have changed unheard: earlier confirmations are void. */
+  /** Changes in the store may have been missed. Earlier confirmations are invalid. */
   | { type: 'doubted' }
   | { type: 'peerLinked', peer: string }
   | { type: 'peerUnlinked', peer: string }
   | { type: 'received', peer: string, message: ConfigurationMessage }
   | { type: 'tick' }
 
+/** Output of the exchange, to be carried out by the caller. */
 export type ExchangeEffect<Configuration> =
+  /** Sends a message to a peer. */
   | { type: 'tell', peer: string, message: ConfigurationMessage }
-  /** The configuration is in force from now on. */
+  /** Puts the configuration into effect. */
   | { type: 'adopt', configuration: Configuration }
+  /** Writes a log line. */
   | { type: 'note', what: string, fields: Record<string, unknown> }
 
+/** Options of `ConfigurationExchange`. */
 export interface ExchangeOptions<Configuration> {
-  /** Reads a document of another entry; undefined when it is not understood. */
+  /** Parses a document received from a peer; returns undefined if it is invalid. */
   read: (document: string) => Configuration | undefined
 }
 
-/** What an entry knows of the configuration, and what it has exchanged with others. */
+/** Current version and transfer counters, for metrics. */
 export interface ExchangeStatus {
+  /** Version in effect. */
   version: number
-  /** Newest version that another entry has told of. */
+  /** Newest version that a peer has reported. */
   newest: number
   documentsSent: number
   documentsReceived: number
-  /** Received ones that were not newer than the own, or not understood. */
+  /** Received documents that were not newer than the own version, or invalid. */
   documentsUseless: number
   charactersSent: number
   charactersReceived: number
 }
 
 interface Peer {
+  /** Version that it last reported. */
   version: number
-  /** It asks for documents; entries of earlier builds are sent them. */
-  fetches: boolean
-  /** Version of the whole document that it was sent on this link. */
-  handed: number
-  /** When it was last asked for a document. */
-  askedAt: number
-  /** Version of which it sent a document that was of no use: it is not asked for that again. */
-  useless: number
+  /** Whether it can fetch documents. Entries of earlier builds cannot and are sent whole documents. */
+  supportsFetch: boolean
+  /** Version of the last whole document sent to it on this link. */
+  sentVersion: number
+  /** When a document was last requested from it. */
+  lastRequestedAt: number
+  /** Version for which it sent an unusable document. That version is not requested from it again. */
+  unusableVersion: number
 }
 
 type Handlers<Configuration> = {
@@ -72,19 +78,23 @@
   [Type in ConfigurationMessage['type']]: (name: string, peer: Peer, message: Extract<ConfigurationMessage, { type: Type }>, now: number) => void
 }
 
+/**
+ * State machine of one entry's configuration exchange. It has no I/O: `handle` takes an event and returns the effects to
+ * carry out. All times are in milliseconds of the caller's clock.
+ */
 export class ConfigurationExchange<Configuration extends { version: number }> {
   readonly #options: ExchangeOptions<Configuration>
   readonly #peers = new Map<string, Peer>()
   readonly #status: ExchangeStatus = { version: 0, newest: 0, documentsSent: 0, documentsReceived: 0, documentsUseless: 0, charactersSent: 0, charactersReceived: 0 }
   #document = ''
-  /** The document as it is sent; made when it is first asked for. */
+  /** Packed form of `#document`; created on the first request. */
   #packed: string | undefined
   #confirmedAt = Number.NEGATIVE_INFINITY
-  /** When the newest version was first heard of. */
-  #heardAt = 0
-  #fetch: Fetch | undefined
-  #toldAt = Number.NEGATIVE_INFINITY
-  #turn = 0
+  /** When a peer first reported the newest version. */
+  #newestReceivedAt = 0
+  #fetch: DocumentFetch | undefined
+  #announcedAt = Number.NEGATIVE_INFINITY
+  #lastPeerIndex = 0
   #effects: Array<ExchangeEffect<Configuration>> = []
 
   readonly #handlers: Handlers<Configuration> = {
@@ -94,16 +104,16 @@
     peerLinked: ({ peer }, now) => this.#linked(peer, now),
     peerUnlinked: ({ peer }) => this.#unlinked(peer),
     received: ({ peer, message }, now) => this.#received(peer, message, now),
-    tick: (_event, now) => this.#tellSome(now)
+    tick: (_event, now) => this.#announceVersion(now)
   }
 
   readonly #messageHandlers: MessageHandlers = {
-    version: (name, peer, message, now) => this.#heard(name, peer, message, now),
-    fetch: (name, _peer, { version, offset }, now) => this.#asked(name, version, offset, now),
-    part: (name, _peer, message, now) => this.#receivedPart(name, message, now),
+    version: (name, peer, message, now) => this.#handleVersion(name, peer, message, now),
+    fetch: (name, _peer, { version, offset }, now) => this.#handleFetchRequest(name, version, offset, now),
+    part: (name, _peer, message, now) => this.#handlePart(name, message, now),
     configuration: (name, _peer, { document }) => {
       this.#status.charactersReceived += document.length
-      this.#receivedDocument(name, document)
+      this.#handleDocument(name, document)
     }
   }
 
@@ -115,25 +125,26 @@
     return this.#status
   }
 
-  /** When the last confirmation began that there was no newer configuration; undefined before the first. */
+  /** Time of the last confirmation that no newer configuration existed; undefined before the first. */
   get confirmedAt (): number | undefined {
     return this.#confirmedAt === Number.NEGATIVE_INFINITY ? undefined : this.#confirmedAt
   }
 
   /**
-   * Whether what the configuration in force lacks can be said not to exist.
+   * Whether the configuration is recent enough to report that something it lacks does not exist.
    *
-   * @param bound within which a configuration has to be in force, in milliseconds
+   * @param bound maximum age of the last confirmation, in milliseconds
    */
   isCurrent (bound: number, now: number): boolean {
     return this.#status.newest <= this.#status.version && now - this.#confirmedAt <= bound
   }
 
+  /** Handles an event and returns the effects, in order. */
   handle (event: ExchangeEvent<Configuration>, now: number): Array<ExchangeEffect<Configuration>> {
     this.#effects = []
     const handler = this.#handlers[event.type] as (event: ExchangeEvent<Configuration>, now: number) => void
     handler(event, now)
-    this.#pursue(now)
+    this.#updateFetch(now)
     return this.#effects
   }
 
@@ -145,7 +156,7 @@
     if (this.#fetch !== undefined && this.#fetch.version <= configuration.version) this.#fetch = undefined
     this.#effects.push({ type: 'adopt', configuration })
     this.#note('configuration adopted', { version: configuration.version, source, ...(from === undefined ? {} : { from }), size: document.length })
-    for (const name of this.#peers.keys()) this.#tell(name, this.#statement())
+    for (const name of this.#peers.keys()) this.#send(name, this.#versionMessage())
   }
 
   #confirmed (at: number): void {
@@ -153,8 +164,8 @@
   }
 
   #linked (name: string, now: number): void {
-    this.#peers.set(name, { version: 0, fetches: false, handed: 0, askedAt: Number.NEGATIVE_INFINITY, useless: 0 })
-    this.#tell(name, this.#statement(now, true))
+    this.#peers.set(name, { version: 0, supportsFetch: false, sentVersion: 0, lastRequestedAt: Number.NEGATIVE_INFINITY, unusableVersion: 0 })
+    this.#send(name, this.#versionMessage(now, true))
   }
 
   #unlinked (name: string): void {
@@ -169,89 +180,89 @@
     handler(name, peer, message, now)
   }
 
-  // News
+  // Versions
 
-  /** The own version; with the age of its confirmation when the time is known. */
-  #statement (now?: number, wantsAnswer = false): VersionMessage {
+  /** Message with the own version. It includes the age of the last confirmation if `now` is given. */
+  #versionMessage (now?: number, requestsEcho = false): VersionMessage {
     const age = now === undefined || this.confirmedAt === undefined ? null : Math.max(0, now - this.#confirmedAt)
-    return { type: 'version', version: this.#status.version, age, ...(wantsAnswer && now !== undefined ? { sent: now } : {}) }
+    return { type: 'version', version: this.#status.version, age, ...(requestsEcho && now !== undefined ? { sent: now } : {}) }
   }
 
-  /** Each of the others has its turn. One that the store does not confirm asks them to answer. */
-  #tellSome (now: number): void {
-    if (now - this.#toldAt < TELL_MILLISECONDS) return
-    this.#toldAt = now
+  /** Sends the own version to some peers, round-robin. Requests an echo if the store has not confirmed the version recently. */
+  #announceVersion (now: number): void {
+    if (now - this.#announcedAt < ANNOUNCE_INTERVAL_MILLISECONDS) return
+    this.#announcedAt = now
     const names = [...this.#peers.keys()]
-    const count = Math.min(TOLD_AT_ONCE, names.length)
-    for (let told = 0; told < count; told += 1) {
-      this.#turn = (this.#turn + 1) % names.length
-      this.#tell(names[this.#turn] as string, this.#statement(now, this.#isUnconfirmed(now)))
+    const count = Math.min(PEERS_PER_ANNOUNCEMENT, names.length)
+    for (let sent = 0; sent < count; sent += 1) {
+      this.#lastPeerIndex = (this.#lastPeerIndex + 1) % names.length
+      this.#send(names[this.#lastPeerIndex] as string, this.#versionMessage(now, this.#isConfirmationStale(now)))
     }
   }
 
-  #isUnconfirmed (now: number): boolean {
-    return now - this.#confirmedAt > UNCONFIRMED_MILLISECONDS
+  #isConfirmationStale (now: number): boolean {
+    return now - this.#confirmedAt > MAX_CONFIRMATION_AGE_MILLISECONDS
   }
 
-  #heard (name: string, peer: Peer, { version, age, sent, echo }: VersionMessage, now: number): void {
+  #handleVersion (name: string, peer: Peer, { version, age, sent, echo }: VersionMessage, now: number): void {
     peer.version = version
-    peer.fetches = age !== undefined
+    peer.supportsFetch = age !== undefined
     if (version > Math.max(this.#status.version, this.#status.newest)) {
       this.#status.newest = version
-      this.#heardAt = now
+      this.#newestReceivedAt = now
       this.#note('newer configuration heard of', { version, own: this.#status.version, peer: name })
     }
-    // Counted from when the question left: an answer may have been held up on its way.
+    // The age counts from when the request was sent, because the response may have been delayed on its way.
     if (echo !== undefined && typeof age === 'number' && version === this.#status.version) this.#confirmed(echo - age)
-    if (sent !== undefined) this.#tell(name, { ...this.#statement(now), echo: sent })
-    else if (version < this.#status.version && echo === undefined) this.#tell(name, this.#statement(now))
-    if (!peer.fetches && version < this.#status.version) this.#hand(name, peer)
+    if (sent !== undefined) this.#send(name, { ...this.#versionMessage(now), echo: sent })
+    else if (version < this.#status.version && echo === undefined) this.#send(name, this.#versionMessage(now))
+    if (!peer.supportsFetch && version < this.#status.version) this.#sendWholeDocument(name, peer)
   }
 
-  /** Entries of earlier builds don't ask: they are sent the whole document, once on each link. */
-  #hand (name: string, peer: Peer): void {
-    if (peer.handed >= this.#status.version) return
-    peer.handed = this.#status.version
-    this.#noteSent(this.#document.length)
-    this.#tell(name, { type: 'configuration', document: this.#document })
+  /** Sends the whole document to an entry of an earlier build, which cannot fetch. Sent at most once per version and link. */
+  #sendWholeDocument (name: string, peer: Peer): void {
+    if (peer.sentVersion >= this.#status.version) return
+    peer.sentVersion = this.#status.version
+    this.#countSentDocument(this.#document.length)
+    this.#send(name, { type: 'configuration', document: this.#document })
   }
 
   // Documents
 
-  #asked (name: string, version: number, offset: number, now: number): void {
-    if (version !== this.#status.version) return this.#tell(name, this.#statement(now))
+  #handleFetchRequest (name: string, version: number, offset: number, now: number): void {
+    if (version !== this.#status.version) return this.#send(name, this.#versionMessage(now))
     this.#packed ??= pack(this.#document)
     const text = this.#packed.slice(offset, offset + PART_CHARACTERS)
     if (offset === 0) this.#status.documentsSent += 1
     this.#status.charactersSent += text.length
-    this.#tell(name, { type: 'part', version, offset, total: this.#packed.length, text })
+    this.#send(name, { type: 'part', version, offset, total: this.#packed.length, text })
   }
 
-  #receivedPart (name: string, part: Extract<ConfigurationMessage, { type: 'part' }>, now: number): void {
+  #handlePart (name: string, part: Extract<ConfigurationMessage, { type: 'part' }>, now: number): void {
     this.#status.charactersReceived += part.text.length
     const fetch = this.#fetch
     if (fetch?.expects(name, part) !== true) return
-    const packed = fetch.take(part, now)
-    if (fetch.isTooLarge) return this.#setAside(name, fetch)
-    if (packed === undefined) return this.#tell(name, fetch.request)
+    const packed = fetch.addPart(part, now)
+    if (fetch.isTooLarge) return this.#markUnusable(name, fetch)
+    if (packed === undefined) return this.#send(name, fetch.request)
     this.#fetch = undefined
     const document = unpack(packed)
-    if (document === undefined || !this.#receivedDocument(name, document)) this.#setAside(name, fetch)
+    if (document === undefined || !this.#handleDocument(name, document)) this.#markUnusable(name, fetch)
   }
 
-  /** What this entry sends of the version is of no use. */
-  #setAside (name: string, { version }: Fetch): void {
+  /** Records that the peer's document of this version is unusable, and ends the fetch. */
+  #markUnusable (name: string, { version }: DocumentFetch): void {
     this.#fetch = undefined
     const peer = this.#peers.get(name)
-    if (peer !== undefined) peer.useless = version
+    if (peer !== undefined) peer.unusableVersion = version
     this.#note('document of another entry is of no use', { peer: name, version })
   }
 
-  /** Tells whether it was newer than what is in force. */
-  #receivedDocument (name: string, document: string): boolean {
+  /** Adopts a received document. Returns whether it was valid and newer than the version in effect. */
+  #handleDocument (name: string, document: string): boolean {
     this.#status.documentsReceived += 1
     const configuration = this.#options.read(document)
-    if (configuration === undefined) this.#note('configuration of another entry is not understood', { peer: name, size: document.length })
+    if (configuration === undefined) this.#note('configuration of another entry is invalid', { peer: name, size: document.length })
     if (configuration === undefined || configuration.version <= this.#status.version) {
       this.#status.documentsUseless += 1
       return false
@@ -260,38 +271,41 @@
     return true
   }
 
-  /** Begins, goes on with or moves the transfer of what is missing. */
-  #pursue (now: number): void {
+  /**
+   * Starts a fetch if a newer version exists. Abandons the current fetch, and starts another one, if its part is overdue or
+   * the peer is gone or has another version.
+   */
+  #updateFetch (now: number): void {
     const fetch = this.#fetch
     if (fetch !== undefined && !fetch.isOverdue(now) && this.#peers.get(fetch.peer)?.version === fetch.version) return
     if (fetch !== undefined) this.#note('transfer of a configuration given up', { version: fetch.version, peer: fetch.peer, overdue: fetch.isOverdue(now) })
     this.#fetch = undefined
     const { version, newest } = this.#status
     if (newest <= version) return
-    if (now - this.#heardAt < FETCH_AFTER_MILLISECONDS && !this.#isUnconfirmed(now)) return
-    this.#begin(now)
+    if (now - this.#newestReceivedAt < FETCH_DELAY_MILLISECONDS && !this.#isConfirmationStale(now)) return
+    this.#startFetch(now)
   }
 
-  /** Asks the entry with the newest version that was not asked for the longest time. */
-  #begin (now: number): void {
+  /** Fetches from the peer with the newest version; among equals, from the one least recently asked. */
+  #startFetch (now: number): void {
     let chosen: [name: string, peer: Peer] | undefined
     for (const [name, peer] of this.#peers) {
-      if (!peer.fetches || peer.version <= Math.max(this.#status.version, peer.useless)) continue
-      if (chosen === undefined || peer.version > chosen[1].version || (peer.version === chosen[1].version && peer.askedAt < chosen[1].askedAt)) chosen = [name, peer]
+      if (!peer.supportsFetch || peer.version <= Math.max(this.#status.version, peer.unusableVersion)) continue
+      if (chosen === undefined || peer.version > chosen[1].version || (peer.version === chosen[1].version && peer.lastRequestedAt < chosen[1].lastRequestedAt)) chosen = [name, peer]
     }
     if (chosen === undefined) return
     const [name, peer] = chosen
-    peer.askedAt = now
-    this.#fetch = new Fetch(name, peer.version, now)
-    this.#tell(name, this.#fetch.request)
+    peer.lastRequestedAt = now
+    this.#fetch = new DocumentFetch(name, peer.version, now)
+    this.#send(name, this.#fetch.request)
   }
 
-  #noteSent (characters: number): void {
+  #countSentDocument (characters: number): void {
     this.#status.documentsSent += 1
     this.#status.charactersSent += characters
   }
 
-  #tell (peer: string, message: ConfigurationMessage): void {
+  #send (peer: string, message: ConfigurationMessage): void {
     this.#effects.push({ type: 'tell', peer, message })
   }
 
--- a/packages/configuration/src/fetch.ts
+++ b/packages/configuration/src/fetch.ts
@@ -1,45 +1,48 @@
-/** One document on its way from another entry, part by part. */
+/** Transfer of one document from a peer, part by part. */
 import type { ConfigurationMessage } from './messages.ts'
-import { DOCUMENT_LIMIT, PART_LIMIT_MILLISECONDS } from './defaults.ts'
+import { MAX_DOCUMENT_SIZE, PART_TIMEOUT_MILLISECONDS } from './defaults.ts'
 
 type Part = Extract<ConfigurationMessage, { type: 'part' }>
 
-export class Fetch {
+/** Collects the parts of a packed document in order and tracks the deadline of the next part. */
+export class DocumentFetch {
   readonly peer: string
   readonly version: number
   readonly #parts: string[] = []
   #received = 0
-  #due: number
+  #dueAt: number
 
   constructor (peer: string, version: number, now: number) {
     this.peer = peer
     this.version = version
-    this.#due = now + PART_LIMIT_MILLISECONDS
+    this.#dueAt = now + PART_TIMEOUT_MILLISECONDS
   }
 
-  /** The message that asks for the next part. */
+  /** Message that requests the next part. */
   get request (): ConfigurationMessage {
     return { type: 'fetch', version: this.version, offset: this.#received }
   }
 
+  /** Whether the received parts exceed the maximum document size. */
   get isTooLarge (): boolean {
-    return this.#received > DOCUMENT_LIMIT
+    return this.#received > MAX_DOCUMENT_SIZE
   }
 
+  /** Whether the requested part has timed out. */
   isOverdue (now: number): boolean {
-    return now >= this.#due
+    return now >= this.#dueAt
   }
 
-  /** Whether this is the part that was asked for. */
+  /** Whether this is the requested part. */
   expects (peer: string, { version, offset, text }: Part): boolean {
     return peer === this.peer && version === this.version && offset === this.#received && text !== ''
   }
 
-  /** Takes the next part in; gives the whole text when it was the last. */
-  take ({ text, total }: Part, now: number): string | undefined {
+  /** Adds the next part. Returns the complete packed document if it was the last part. */
+  addPart ({ text, total }: Part, now: number): string | undefined {
     this.#parts.push(text)
     this.#received += text.length
-    this.#due = now + PART_LIMIT_MILLISECONDS
+    this.#dueAt = now + PART_TIMEOUT_MILLISECONDS
     return this.#received >= total ? this.#parts.join('') : undefined
   }
 }
--- a/packages/configuration/src/messages.ts
+++ b/packages/configuration/src/messages.ts
@@ -1,26 +1,28 @@
-/** What entries tell each other of the configuration. */
+/** Messages of the configuration exchange between entries. */
 
-/** A statement of a version, on its own or as an answer. */
+/** Reports the sender's version, unrequested or as a response. */
 export interface VersionMessage {
   type: 'version'
   version: number
   /**
-   * Milliseconds since the last confirmation of the sender that there is no newer one began; null without any. Entries of
-   * earlier builds leave it out; they can't fetch.
+   * Milliseconds since the sender's last confirmation that no newer version exists; null without a confirmation. Entries of
+   * earlier builds, which cannot fetch, leave it out.
    */
   age?: number | null
-  /** Time of the sender; the answer returns it as `echo`. Left out when no answer is wanted. */
+  /** Clock of the sender, which the response returns as `echo`. Left out if no response is requested. */
   sent?: number
+  /** `sent` of the message that this one responds to. */
   echo?: number
 }
 
+/** Any message of the exchange. */
 export type ConfigurationMessage =
   | VersionMessage
-  /** Asks for the part of a packed document that begins at an offset. */
+  /** Requests the part of a packed document that starts at `offset`. */
   | { type: 'fetch', version: number, offset: number }
-  /** A part of the packed document; `total` is the length of all. */
+  /** Part of a packed document; `total` is the length of the whole packed document. */
   | { type: 'part', version: number, offset: number, total: number, text: string }
-  /** A whole document, as earlier builds send and understand it. */
+  /** Whole unpacked document, for compatibility with earlier builds. */
   | { type: 'configuration', document: string }
 
 type Check = (fields: Readonly<Record<string, unknown>>) => boolean
@@ -32,7 +34,7 @@
   configuration: ({ document }) => typeof document === 'string'
 }
 
-/** Whether a message from another process is one of these, with every field as it has to be. */
+/** Whether a value received from another process is a valid message. Checks the type of every field. */
 export function isConfigurationMessage (message: unknown): message is ConfigurationMessage {
   if (typeof message !== 'object' || message === null) return false
   const fields = message as Record<string, unknown>
--- a/packages/configuration/test/exchange.test.ts
+++ b/packages/configuration/test/exchange.test.ts
@@ -5,18 +5,19 @@
 import { pack } from '../src/packing.ts'
 import { documentOf, Mesh, read } from './mesh.ts'
 
-/** Of a configuration of thousands of queues. */
-const LARGE = 900_000
+/** Size of a configuration with thousands of queues, in characters. */
+const LARGE_SIZE = 900_000
 
-/** Characters a millisecond of a small link. */
-const SMALL_LINK = 2000
+/** Capacity of a slow link, in characters per millisecond. */
+const SLOW_LINK_RATE = 2000
 
+/** Maximum age of a confirmation, in milliseconds. */
 const BOUND = 2000
 
-/** Entries of which the last is behind a small link and is served by no store; the store confirms the others each second. */
+/** Creates linked entries. The last one has a slow link, and the tests give it nothing from the store. */
 function newFleet (size: number): Mesh {
   const mesh = new Mesh()
-  for (let index = 0; index < size; index += 1) mesh.add(`entry-${index}`, index === size - 1 ? SMALL_LINK : Infinity)
+  for (let index = 0; index < size; index += 1) mesh.add(`entry-${index}`, index === size - 1 ? SLOW_LINK_RATE : Infinity)
   return mesh
 }
 
@@ -34,51 +35,51 @@
   return entry
 }
 
-// 35 entries told each other their version every 400 ms: 3,000 messages a second in a fleet where nothing happened.
-test('an entry tells some of the others its version at a time, and each has its turn', () => {
+// If each of 35 entries sent its version to all others every 400 ms, an idle fleet would send 3,000 messages per second.
+test('an entry sends its version to a few peers at a time, round-robin', () => {
   const exchange = new ConfigurationExchange({ read })
   for (let index = 0; index < 10; index += 1) exchange.handle({ type: 'peerLinked', peer: `entry-${index}` }, 0)
-  const told = [400, 800, 1200].map(now => exchange.handle({ type: 'tick' }, now).flatMap(effect => effect.type === 'tell' ? effect.peer : []))
-  expect(told.map(peers => peers.length)).toEqual([4, 4, 4])
-  expect(new Set(told.flat()).size).toEqual(10)
+  const recipients = [400, 800, 1200].map(now => exchange.handle({ type: 'tick' }, now).flatMap(effect => effect.type === 'tell' ? effect.peer : []))
+  expect(recipients.map(peers => peers.length)).toEqual([4, 4, 4])
+  expect(new Set(recipients.flat()).size).toEqual(10)
 })
 
-// The store turns the entry away: nobody but the others can tell it.
-test('an entry without the store has a large configuration from another one within half a second', () => {
+// The store rejects the entry's reads, so it can get the configuration only from its peers.
+test('an entry without the store receives a large configuration from a peer within half a second', () => {
   const mesh = newFleet(8)
   mesh.run(1000)
-  storeAtOthers(mesh, 1, LARGE)
+  storeAtOthers(mesh, 1, LARGE_SIZE)
   mesh.run(500)
   expect(entryOf(mesh, lastOf(mesh)).version).toEqual(1)
 })
 
-// Every entry that was ahead sent the whole document, each time it heard that the other was behind.
-test('an entry that is behind is sent a document once, by one of the others', () => {
+// If peers pushed the document, every entry with the newer version would send it whenever the outdated entry reports its version.
+test('an outdated entry is sent a document only once, by one peer', () => {
   const mesh = newFleet(8)
   mesh.run(1000)
-  storeAtOthers(mesh, 1, LARGE)
-  const behind = entryOf(mesh, lastOf(mesh))
-  const before = behind.received
+  storeAtOthers(mesh, 1, LARGE_SIZE)
+  const lagging = entryOf(mesh, lastOf(mesh))
+  const before = lagging.received
   mesh.run(3000)
-  expect(behind.received - before).toBeLessThan(1.05 * pack(documentOf(1, LARGE)).length)
+  expect(lagging.received - before).toBeLessThan(1.05 * pack(documentOf(1, LARGE_SIZE)).length)
   expect([...mesh.entries.values()].reduce((sum, { exchange }) => sum + exchange.status.documentsSent, 0)).toEqual(1)
 })
 
-test('an entry whose own watch brings the document asks nobody', () => {
+test('an entry whose own watch delivers the document does not fetch it', () => {
   const mesh = newFleet(8)
   mesh.run(1000)
-  for (const name of mesh.entries.keys()) mesh.store(name, 1, LARGE)
+  for (const name of mesh.entries.keys()) mesh.store(name, 1, LARGE_SIZE)
   mesh.run(20)
-  for (const name of mesh.entries.keys()) mesh.store(name, 2, LARGE)
+  for (const name of mesh.entries.keys()) mesh.store(name, 2, LARGE_SIZE)
   mesh.run(1000)
   expect([...mesh.entries.values()].every(({ version }) => version === 2)).toEqual(true)
   expect([...mesh.entries.values()].some(({ exchange }) => exchange.status.documentsSent > 0)).toEqual(false)
 })
 
-test('a transfer from an entry that freezes goes on from another one', () => {
+test('a transfer from an entry that freezes is restarted from another one', () => {
   const mesh = newFleet(3)
   mesh.run(1000)
-  storeAtOthers(mesh, 1, LARGE)
+  storeAtOthers(mesh, 1, LARGE_SIZE)
   mesh.run(30)
   const sender = [...mesh.entries.values()].find(({ exchange }) => exchange.status.documentsSent > 0)
   expect(sender === undefined).toEqual(false)
@@ -87,10 +88,10 @@
   expect(entryOf(mesh, lastOf(mesh)).version).toEqual(1)
 })
 
-test('a transfer from an entry whose link ends goes on from another one at once', () => {
+test('a transfer from an entry whose link ends is restarted from another one at once', () => {
   const mesh = newFleet(3)
   mesh.run(1000)
-  storeAtOthers(mesh, 1, LARGE)
+  storeAtOthers(mesh, 1, LARGE_SIZE)
   mesh.run(30)
   const [name = ''] = [...mesh.entries].find(([, { exchange }]) => exchange.status.documentsSent > 0) ?? []
   mesh.unlink(name, lastOf(mesh))
@@ -98,36 +99,36 @@
   expect(entryOf(mesh, lastOf(mesh)).version).toEqual(1)
 })
 
-test('a transfer of a version that is replaced meanwhile ends with the newer one', () => {
+test('a transfer of a version that is replaced during it delivers the newer version', () => {
   const mesh = newFleet(3)
   mesh.run(1000)
-  storeAtOthers(mesh, 1, LARGE)
+  storeAtOthers(mesh, 1, LARGE_SIZE)
   mesh.run(30)
-  storeAtOthers(mesh, 2, LARGE)
+  storeAtOthers(mesh, 2, LARGE_SIZE)
   mesh.run(500)
   expect(entryOf(mesh, lastOf(mesh)).version).toEqual(2)
 })
 
-// Load: configurations in quick succession at a fleet of which one entry has only the others.
-test('configurations in quick succession cost a small link less than it carries', () => {
+// Load test: configurations change in quick succession, and one entry can get them only from its peers.
+test('configurations in quick succession stay below the capacity of a slow link', () => {
   const mesh = newFleet(35)
   mesh.run(1000)
   let version = 0
-  const behind = entryOf(mesh, lastOf(mesh))
-  const before = behind.received
+  const lagging = entryOf(mesh, lastOf(mesh))
+  const before = lagging.received
   mesh.run(4000, () => {
     if (mesh.now % 200 !== 0) return
     version += 1
-    storeAtOthers(mesh, version, LARGE)
+    storeAtOthers(mesh, version, LARGE_SIZE)
   })
-  expect(behind.received - before).toBeLessThan(0.5 * SMALL_LINK * 4000)
+  expect(lagging.received - before).toBeLessThan(0.5 * SLOW_LINK_RATE * 4000)
   mesh.run(500)
-  expect(behind.version).toEqual(version)
+  expect(lagging.version).toEqual(version)
 })
 
-// A document that one build understands and another does not must not be sent again and again.
-test('a document that is not understood is asked of each entry once', () => {
-  const asked: ConfigurationMessage[] = []
+// A document that is invalid for this build but valid for others must not be requested over and over.
+test('an invalid document is requested from each entry once', () => {
+  const requests: ConfigurationMessage[] = []
   const exchange = new ConfigurationExchange<{ version: number }>({ read: () => undefined })
   const packed = pack('{"version":7}')
   for (const peer of ['one', 'two']) {
@@ -137,14 +138,14 @@
   for (let now = 50; now < 20_000; now += 50) {
     for (const effect of exchange.handle({ type: 'tick' }, now)) {
       if (effect.type !== 'tell' || effect.message.type !== 'fetch') continue
-      asked.push(effect.message)
+      requests.push(effect.message)
       exchange.handle({ type: 'received', peer: effect.peer, message: { type: 'part', version: 7, offset: 0, total: packed.length, text: packed } }, now)
     }
   }
-  expect(asked.length).toBeLessThanOrEqual(2)
+  expect(requests.length).toBeLessThanOrEqual(2)
 })
 
-test('what is no packed document is of no use and harms nothing', () => {
+test('a part that is not a packed document is ignored', () => {
   const exchange = new ConfigurationExchange({ read })
   exchange.handle({ type: 'peerLinked', peer: 'one' }, 0)
   exchange.handle({ type: 'received', peer: 'one', message: { type: 'version', version: 7, age: 0 } }, 0)
@@ -154,19 +155,19 @@
   expect(exchange.status.version).toEqual(0)
 })
 
-test('an entry of an earlier build is sent the whole document once on each link', () => {
+test('an entry of an earlier build is sent the whole document once per link', () => {
   const exchange = new ConfigurationExchange({ read })
   const document = documentOf(3)
   exchange.handle({ type: 'stored', configuration: { version: 3, text: '' }, document }, 0)
-  const handed = (): number => exchange.handle({ type: 'received', peer: 'old', message: { type: 'version', version: 2 } }, 10).filter(effect => effect.type === 'tell' && effect.message.type === 'configuration').length
+  const countSentDocuments = (): number => exchange.handle({ type: 'received', peer: 'old', message: { type: 'version', version: 2 } }, 10).filter(effect => effect.type === 'tell' && effect.message.type === 'configuration').length
   exchange.handle({ type: 'peerLinked', peer: 'old' }, 5)
-  expect([handed(), handed(), handed()]).toEqual([1, 0, 0])
+  expect([countSentDocuments(), countSentDocuments(), countSentDocuments()]).toEqual([1, 0, 0])
   exchange.handle({ type: 'peerUnlinked', peer: 'old' }, 20)
   exchange.handle({ type: 'peerLinked', peer: 'old' }, 30)
-  expect(handed()).toEqual(1)
+  expect(countSentDocuments()).toEqual(1)
 })
 
-test('a whole document of an earlier build is taken in', () => {
+test('a whole document from an earlier build is adopted', () => {
   const mesh = new Mesh()
   const entry = mesh.add('entry')
   mesh.handle('entry', { type: 'peerLinked', peer: 'old' })
@@ -174,18 +175,18 @@
   expect(entry.version).toEqual(4)
 })
 
-// A caller that is told that its queue does not exist does not come back.
-test('nothing is denied while a newer configuration is known of', () => {
+// A caller that receives "queue does not exist" does not retry, so the entry must not report this while it may be outdated.
+test('the configuration is not current while a newer version is known', () => {
   const mesh = newFleet(2)
   mesh.store('entry-0', 1)
   mesh.store('entry-1', 1)
   expect(entryOf(mesh, 'entry-1').exchange.isCurrent(BOUND, mesh.now)).toEqual(true)
-  mesh.store('entry-0', 2, LARGE)
+  mesh.store('entry-0', 2, LARGE_SIZE)
   mesh.run(5)
   expect(entryOf(mesh, 'entry-1').exchange.isCurrent(BOUND, mesh.now)).toEqual(false)
 })
 
-test('nothing is denied when the last confirmation is older than the bound', () => {
+test('the configuration is not current when the last confirmation is older than the bound', () => {
   const mesh = new Mesh()
   const entry = mesh.add('entry')
   mesh.store('entry', 1)
@@ -193,8 +194,8 @@
   expect(entry.exchange.isCurrent(BOUND, BOUND + 1)).toEqual(false)
 })
 
-// The history of the store was dropped: what happened in it is not known before the next list.
-test('nothing is denied after changes may have been missed, until the next confirmation', () => {
+// After the store has dropped its history, missed changes are unknown until the next full read.
+test('after changes may have been missed the configuration is not current until the next confirmation', () => {
   const mesh = new Mesh()
   const entry = mesh.add('entry')
   mesh.store('entry', 1)
@@ -204,7 +205,7 @@
   expect(entry.exchange.isCurrent(BOUND, mesh.now)).toEqual(true)
 })
 
-test('the others confirm a configuration to an entry without the store', () => {
+test('peers confirm the configuration of an entry without the store', () => {
   const mesh = newFleet(8)
   for (const name of mesh.entries.keys()) mesh.store(name, 1)
   const confirm = (): void => {
@@ -214,8 +215,8 @@
   expect(entryOf(mesh, lastOf(mesh)).exchange.isCurrent(BOUND, mesh.now)).toEqual(true)
 })
 
-// A partition holds the answer up for seconds: what it says was true when it was sent.
-test('an answer that was held up confirms nothing later than its question', () => {
+// A partition can delay a response by seconds. Its content is only known to hold when the request was sent.
+test('a delayed response confirms nothing later than its request', () => {
   const exchange = new ConfigurationExchange({ read })
   exchange.handle({ type: 'stored', configuration: { version: 1, text: '' }, document: documentOf(1) }, 0)
   exchange.handle({ type: 'peerLinked', peer: 'one' }, 100)
@@ -223,7 +224,7 @@
   expect(exchange.confirmedAt).toEqual(80)
 })
 
-test('a statement that answers no question confirms nothing', () => {
+test('a version message without an echo confirms nothing', () => {
   const exchange = new ConfigurationExchange({ read })
   exchange.handle({ type: 'stored', configuration: { version: 1, text: '' }, document: documentOf(1) }, 0)
   exchange.handle({ type: 'peerLinked', peer: 'one' }, 100)
@@ -231,7 +232,7 @@
   expect(exchange.confirmedAt).toEqual(undefined)
 })
 
-test('a message of an entry without a link is ignored', () => {
+test('a message from an entry without a link is ignored', () => {
   const exchange = new ConfigurationExchange({ read })
   expect(exchange.handle({ type: 'received', peer: 'gone', message: { type: 'version', version: 9, age: 0 } }, 10)).toEqual([])
 })
--- a/packages/configuration/test/mesh.ts
+++ b/packages/configuration/test/mesh.ts
@@ -1,4 +1,4 @@
-/** Exchanges of several entries under virtual time, each behind a link of its own. */
+/** Simulates the exchanges of several entries in virtual time. Each entry has its own link. */
 import type { ConfigurationMessage } from '../src/messages.ts'
 import type { ExchangeEvent } from '../src/exchange.ts'
 import { ConfigurationExchange } from '../src/exchange.ts'
@@ -8,10 +8,10 @@
   text: string
 }
 
-/** Interval of the ticks that each entry gets, in milliseconds. */
+/** Interval of each entry's ticks, in milliseconds. */
 const TICK_MILLISECONDS = 50
 
-/** One way between two entries, in milliseconds. */
+/** One-way latency between two entries, in milliseconds. */
 const DELAY_MILLISECONDS = 1
 
 interface Delivery {
@@ -23,9 +23,9 @@
 
 export interface MeshEntry {
   readonly exchange: ConfigurationExchange<Configuration>
-  /** Characters a millisecond that its link carries to it. */
+  /** Inbound capacity of its link, in characters per millisecond. */
   readonly rate: number
-  /** It neither handles nor sends anything. */
+  /** Whether it is frozen: it neither handles nor sends anything. */
   frozen: boolean
   version: number
   adoptedAt: number
@@ -34,11 +34,12 @@
   linkFreeAt: number
 }
 
+/** Document of a version, with at least `size` characters of text. */
 export function documentOf (version: number, size = 100): string {
   return JSON.stringify({ version, text: randomText(version, size) })
 }
 
-/** Text that compresses as badly as names of queues do. */
+/** Pseudo-random text that compresses as poorly as queue names. */
 function randomText (seed: number, size: number): string {
   let state = seed + 1
   let text = ''
@@ -49,6 +50,7 @@
   return text
 }
 
+/** Parses a document; undefined if it is not JSON. */
 export function read (document: string): Configuration | undefined {
   try {
     return JSON.parse(document) as Configuration
@@ -57,14 +59,16 @@
   }
 }
 
+/** Entries, the links between them and the messages in transit. */
 export class Mesh {
   readonly entries = new Map<string, MeshEntry>()
   readonly notes: string[] = []
-  /** Loses messages for which it tells so. */
-  loses: (delivery: Omit<Delivery, 'at'>) => boolean = () => false
+  /** Drops the messages for which it returns true. */
+  drops: (delivery: Omit<Delivery, 'at'>) => boolean = () => false
   now = 0
   #deliveries: Delivery[] = []
 
+  /** Adds an entry and links it to all others. */
   add (name: string, rate = Infinity): MeshEntry {
     const entry: MeshEntry = { exchange: new ConfigurationExchange<Configuration>({ read }), rate, frozen: false, version: 0, adoptedAt: 0, received: 0, linkFreeAt: 0 }
     const others = [...this.entries.keys()]
@@ -83,13 +87,14 @@
     this.handle(other, { type: 'peerUnlinked', peer: one })
   }
 
-  /** The store hands an entry a version. */
+  /** Lets an entry read a version from the store. */
   store (name: string, version: number, size?: number): void {
     const document = documentOf(version, size)
     this.handle(name, { type: 'stored', configuration: read(document) as Configuration, document })
     this.handle(name, { type: 'confirmed', at: this.now })
   }
 
+  /** Passes an event to an entry and carries out the effects. */
   handle (name: string, event: ExchangeEvent<Configuration>): void {
     const entry = this.entries.get(name)
     if (entry === undefined || entry.frozen) return
@@ -103,8 +108,8 @@
     }
   }
 
-  /** Lets time pass; `each` is called with every tick. */
-  run (milliseconds: number, each: () => void = () => {}): void {
+  /** Advances the clock; `onTick` is called before every tick. */
+  run (milliseconds: number, onTick: () => void = () => {}): void {
     const until = this.now + milliseconds
     while (this.now < until) {
       this.now += 1
@@ -112,14 +117,14 @@
       this.#deliveries = this.#deliveries.filter(({ at }) => at > this.now)
       for (const { from, to, message } of due) this.handle(to, { type: 'received', peer: from, message })
       if (this.now % TICK_MILLISECONDS !== 0) continue
-      each()
+      onTick()
       for (const name of this.entries.keys()) this.handle(name, { type: 'tick' })
     }
   }
 
   #send (delivery: Omit<Delivery, 'at'>): void {
     const to = this.entries.get(delivery.to)
-    if (to === undefined || this.loses(delivery)) return
+    if (to === undefined || this.drops(delivery)) return
     const size = JSON.stringify(delivery.message).length
     to.received += size
     to.linkFreeAt = Math.max(this.now, to.linkFreeAt) + size / to.rate
--- a/packages/configuration/test/messages.test.ts
+++ b/packages/configuration/test/messages.test.ts
@@ -4,7 +4,7 @@
 import { ConfigurationExchange } from '../src/exchange.ts'
 import { isConfigurationMessage } from '../src/messages.ts'
 
-test('messages are told from others, with every field checked', () => {
+test('messages are recognized only if every field is valid', () => {
   expect(isConfigurationMessage({ type: 'version', version: 3 })).toEqual(true)
   expect(isConfigurationMessage({ type: 'version', version: 3, age: null, sent: 4.5 })).toEqual(true)
   expect(isConfigurationMessage({ type: 'fetch', version: 3, offset: 0 })).toEqual(true)
@@ -16,8 +16,8 @@
   expect(isConfigurationMessage(undefined)).toEqual(false)
 })
 
-// Another writer's message must end no process.
-test('no message that passes the check makes the exchange fail', () => {
+// A malformed message from another process must not crash the receiver.
+test('no message that passes the check makes the exchange throw', () => {
   const messages = record({ type: constantFrom('version', 'fetch', 'part', 'configuration'), version: anything(), offset: anything(), total: anything(), text: anything(), document: anything(), age: anything(), sent: anything(), echo: anything() }, { requiredKeys: ['type'] })
   assert(property(messages, message => {
     const exchange = new ConfigurationExchange<{ version: number }>({ read: () => undefined })
--- a/packages/store/src/exchange.ts
+++ b/packages/store/src/exchange.ts
@@ -58,7 +58,7 @@
   constructor (limits: ExchangeLimits, settle: (result: ExchangeResult) => void) {
     this.#settle = settle
     this.#limits = limits
-    this.#timer = this.#limit(limits.answer)
+    this.#timer = this.#startTimer(limits.answer)
   }
 
   /**
@@ -81,7 +81,7 @@
     const { pause } = this.#limits
     if (pause === undefined || this.#settled) return
     clearTimeout(this.#timer)
-    this.#timer = this.#limit(pause)
+    this.#timer = this.#startTimer(pause)
   }
 
   onResponseData (_controller: Dispatcher.DispatchController, chunk: Buffer): void {
@@ -111,7 +111,7 @@
    * After the process was stalled, the event loop runs the expired timer before it reads a response that was received
    * in the meantime. `setImmediate` lets pending data be read before the timeout applies.
    */
-  #limit (milliseconds: number): NodeJS.Timeout {
+  #startTimer (milliseconds: number): NodeJS.Timeout {
     return setTimeout(() => {
       const received = this.#chunks.length
       setImmediate(() => {
