--- a/packages/bench/src/convergencereports.ts
+++ b/packages/bench/src/convergencereports.ts
@@ -3,7 +3,7 @@
  * one agent and one entry, from the sizes of the real messages as the codec makes them.
  */
 import type { AgentToEntry, EntryToAgent, PeerMessage } from '@amaranthmast/coordination/messages'
-import { agentFrame, entryFrame, peerFrame } from '@amaranthmast/protocol/codec'
+import { encodeAgentFrame, encodeEntryFrame, encodePeerFrame } from '@amaranthmast/protocol/codec'
 import { AgentFrameSchema, EntryFrameSchema, PeerFrameSchema } from '@amaranthmast/protocol/inner_pb'
 import { toBinary } from '@bufbuild/protobuf'
 import { rounded } from './measures.ts'
@@ -43,10 +43,10 @@
   const report: AgentToEntry = { case: 'report', value: { running: 6, queued: 2, credit: 12, leaving: false, viewVersion: 1_000, configurationVersion: 1_000 } }
   const peerHeartbeat: PeerMessage = { case: 'heartbeat', value: { sent: SENT, viewVersion: 1_000, configurationVersion: 1_000 } }
   return {
-    heartbeat: toBinary(AgentFrameSchema, agentFrame([heartbeat])).length,
-    reply: toBinary(EntryFrameSchema, entryFrame([reply])).length,
-    report: toBinary(AgentFrameSchema, agentFrame([report])).length,
-    peerHeartbeat: toBinary(PeerFrameSchema, peerFrame([peerHeartbeat])).length
+    heartbeat: toBinary(AgentFrameSchema, encodeAgentFrame([heartbeat])).length,
+    reply: toBinary(EntryFrameSchema, encodeEntryFrame([reply])).length,
+    report: toBinary(AgentFrameSchema, encodeAgentFrame([report])).length,
+    peerHeartbeat: toBinary(PeerFrameSchema, encodePeerFrame([peerHeartbeat])).length
   }
 }
 
--- a/packages/cli/src/apply.ts
+++ b/packages/cli/src/apply.ts
@@ -1,5 +1,5 @@
 /** `apply FILE`: puts a file into force as a whole, or changes nothing. */
-import { differenceOf } from '@amaranthmast/settings/difference'
+import { diffConfigurations } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Accepted } from './applying.ts'
@@ -22,7 +22,7 @@
   const base = await readBase(context, editedFrom)
   if (base.isErr()) return err(base.error)
   const { stored } = base.value
-  if (stored !== undefined && differenceOf(stored.document, document.value).length === 0) {
+  if (stored !== undefined && diffConfigurations(stored.document, document.value).length === 0) {
     return ok({ version: stored.version, latest: stored.version, applyId: undefined, changes: [] })
   }
   if (stored !== undefined && stored.version !== editedFrom) return err(await raceLost(context, editedFrom, stored))
--- a/packages/cli/src/applying.ts
+++ b/packages/cli/src/applying.ts
@@ -1,9 +1,9 @@
 /** Replacing the configuration in force, and reporting it: what `apply` and `drain` share. */
 import type { ConfigurationFile, StoredConfiguration } from '@amaranthmast/settings/configurationfile'
-import { tooLarge } from '@amaranthmast/settings/configurationfile'
-import { MAXIMUM_VALUE_BYTES } from '@amaranthmast/settings/defaults'
+import { documentTooLarge } from '@amaranthmast/settings/configurationfile'
+import { MAX_VALUE_BYTES } from '@amaranthmast/settings/defaults'
 import type { Change } from '@amaranthmast/settings/difference'
-import { differenceOf, formatChanges } from '@amaranthmast/settings/difference'
+import { diffConfigurations, formatChanges } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 import type { Arguments, Context, Report } from './command.ts'
@@ -42,13 +42,13 @@
 export async function raceLost (context: Context, editedFrom: number, stored: StoredConfiguration): Promise<ToolError> {
   const base = editedFrom === 0 ? ok(undefined) : await context.configurations.version(editedFrom)
   const isKnown = base.isOk() && (editedFrom === 0 || base.value !== undefined)
-  const changes = isKnown ? differenceOf(base.value?.document, stored.document) : undefined
+  const changes = isKnown ? diffConfigurations(base.value?.document, stored.document) : undefined
   return new RaceLost(editedFrom, stored.version, changes)
 }
 
 /** Replaces `base`; fails with `RaceLost` when another apply was faster. */
 export async function replaceBase (context: Context, base: CurrentConfiguration, file: ConfigurationFile): Promise<Result<Accepted, ToolError>> {
-  const changes = differenceOf(base.stored?.document, file)
+  const changes = diffConfigurations(base.stored?.document, file)
   const applyId = context.newApplyId()
   const replaced = await context.configurations.replace(base, file, applyId)
   if (replaced.isErr()) return err(replaced.error)
@@ -60,7 +60,7 @@
 /** Refuses a document that the key-value service could not hold with what is stored beside it. */
 export function checkSize (file: string, document: ConfigurationFile): Result<void, ToolError> {
   const bytes = Buffer.byteLength(JSON.stringify(document)) + RECORD_BYTES
-  return bytes > MAXIMUM_VALUE_BYTES ? err(new FileRefused(file, tooLarge(bytes))) : ok(undefined)
+  return bytes > MAX_VALUE_BYTES ? err(new FileRefused(file, documentTooLarge(bytes))) : ok(undefined)
 }
 
 /** Reports an accepted configuration, after the wait if one was asked for. */
--- a/packages/cli/src/check.ts
+++ b/packages/cli/src/check.ts
@@ -1,6 +1,6 @@
 /** `check FILE`: checks an operators' file without asking anybody. */
 import { okAsync } from 'neverthrow'
-import { parseConfigurationFile, warningsOf } from '@amaranthmast/settings/configurationfile'
+import { parseConfigurationFile, findWarnings } from '@amaranthmast/settings/configurationfile'
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
 import type { Result } from 'neverthrow'
 import type { Command, Context, Report } from './command.ts'
@@ -23,7 +23,7 @@
     counted(Object.keys(providers).length, 'provider'),
     counted(Object.keys(tenants).length, 'tenant')
   ]
-  const warnings = warningsOf(document)
+  const warnings = findWarnings(document)
   return {
     exitCode: ExitCode.Done,
     lines: [`${file} is valid: ${parts.join(', ')}, edited from version ${document.editedFrom}.`, ...warnings.map((warning) => `warning: ${warning}`)],
--- a/packages/cli/src/drain.ts
+++ b/packages/cli/src/drain.ts
@@ -3,7 +3,7 @@
  * apply of the draining lists: compared and swapped like any other, and part of the history.
  */
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
-import { checkConfigurationFile, warningsOf } from '@amaranthmast/settings/configurationfile'
+import { checkConfigurationFile, findWarnings } from '@amaranthmast/settings/configurationfile'
 import { DRAIN_FIELDS, DrainKind } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
@@ -19,7 +19,7 @@
   const accepted = await acceptDrain(context, options)
   if (accepted.isErr()) return err(accepted.error)
   const report = await reportAccepted(context, options, accepted.value.accepted)
-  const warnings = warningsOf(accepted.value.document)
+  const warnings = findWarnings(accepted.value.document)
   return ok({ ...report, lines: [...report.lines, ...warnings.map((warning) => `warning: ${warning}`)], json: { ...report.json, warnings } })
 }
 
--- a/packages/cli/src/history.ts
+++ b/packages/cli/src/history.ts
@@ -1,7 +1,7 @@
 /** `history`: the last versions and what each changed. */
 import type { StoredConfiguration } from '@amaranthmast/settings/configurationfile'
 import type { Change } from '@amaranthmast/settings/difference'
-import { differenceOf, formatChanges } from '@amaranthmast/settings/difference'
+import { diffConfigurations, formatChanges } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Arguments, Command, Context, Report } from './command.ts'
@@ -35,7 +35,7 @@
 function entryOf (stored: StoredConfiguration, before: StoredConfiguration | undefined): HistoryEntry {
   const { version, appliedAt, applyId } = stored
   const isFirst = version === 1
-  const changes = before === undefined && !isFirst ? undefined : differenceOf(before?.document, stored.document)
+  const changes = before === undefined && !isFirst ? undefined : diffConfigurations(before?.document, stored.document)
   return { version, appliedAt, applyId, changes }
 }
 
--- a/packages/cli/src/plan.ts
+++ b/packages/cli/src/plan.ts
@@ -1,7 +1,7 @@
 /** `plan FILE`: what an apply would change, without writing anything. */
-import { warningsOf } from '@amaranthmast/settings/configurationfile'
+import { findWarnings } from '@amaranthmast/settings/configurationfile'
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
-import { differenceOf, formatChanges } from '@amaranthmast/settings/difference'
+import { diffConfigurations, formatChanges } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
 import { raceLost, readBase } from './applying.ts'
@@ -27,8 +27,8 @@
 
 function reportPlan (base: CurrentConfiguration, document: ConfigurationFile): Report {
   const version = versionOf(base)
-  const changes = differenceOf(base.stored?.document, document)
-  const warnings = warningsOf(document)
+  const changes = diffConfigurations(base.stored?.document, document)
+  const warnings = findWarnings(document)
   const head = changes.length === 0
     ? `Nothing to change: version ${version} holds exactly this.`
     : `${counted(changes.length, 'change')} to version ${version}; apply would make version ${version + 1}:`
--- a/packages/daemon/src/agents.ts
+++ b/packages/daemon/src/agents.ts
@@ -1,7 +1,7 @@
 /** The entry's side of the streams that agents open. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { AgentToEntry, EntryToAgent, Instance } from '@amaranthmast/coordination/messages'
-import { agentMessages, entryFrame } from '@amaranthmast/protocol/codec'
+import { decodeAgentFrame, encodeEntryFrame } from '@amaranthmast/protocol/codec'
 import type { AgentFrame, EntryFrame } from '@amaranthmast/protocol/inner_pb'
 import type { HandlerContext } from '@connectrpc/connect'
 import { serveLink } from './innerlistener.ts'
@@ -18,12 +18,12 @@
       connected: () => {},
       message: (agent, message) => post({ type: 'agentMessage', agent, message }),
       disconnected: agent => post({ type: 'agentDisconnected', agent })
-    }, entryFrame)
+    }, encodeEntryFrame)
   }
 
   /** Serves the stream of one agent. */
   serve (frames: AsyncIterable<AgentFrame>, context: HandlerContext): AsyncIterable<EntryFrame> {
-    return serveLink(this.#links, this.#own, frames, context, agentMessages)
+    return serveLink(this.#links, this.#own, frames, context, decodeAgentFrame)
   }
 
   /**
--- a/packages/daemon/src/entries.ts
+++ b/packages/daemon/src/entries.ts
@@ -1,7 +1,7 @@
 /** The agent's side of the streams to entries. */
 import type { AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import type { AgentToEntry, EntryToAgent } from '@amaranthmast/coordination/messages'
-import { agentFrame, entryMessages } from '@amaranthmast/protocol/codec'
+import { encodeAgentFrame, decodeEntryFrame } from '@amaranthmast/protocol/codec'
 import type { AgentFrame, EntryFrame } from '@amaranthmast/protocol/inner_pb'
 import type { Destination } from './dialer.ts'
 import { DialledLinks } from './dialledlinks.ts'
@@ -19,13 +19,13 @@
       connected: entry => post({ type: 'entryConnected', entry }),
       message: (entry, message) => post({ type: 'entryMessage', entry, message }),
       disconnected: entry => post({ type: 'entryDisconnected', entry })
-    }, agentFrame)
+    }, encodeAgentFrame)
     super(links, environment)
     this.#dial = {
       links,
       own: environment.instance,
       open: (client, frames, options) => client.agent(frames, options),
-      messagesOf: entryMessages,
+      messagesOf: decodeEntryFrame,
       log: environment.log
     }
   }
--- a/packages/daemon/src/entrydaemon.ts
+++ b/packages/daemon/src/entrydaemon.ts
@@ -7,7 +7,7 @@
 import { KeyValueClient } from '@amaranthmast/store/client'
 import type { EntryFrame } from '@amaranthmast/protocol/inner_pb'
 import { parseConfiguration } from '@amaranthmast/settings/configurationfile'
-import { publishedEntry } from '@amaranthmast/settings/publishedinstance'
+import { publishedRecord } from '@amaranthmast/settings/publishedinstance'
 import type { EntrySettings } from '@amaranthmast/settings/settingstypes'
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
@@ -126,7 +126,7 @@
   async run (): Promise<void> {
     const timer = setInterval(() => this.#tick(), TICK_MILLISECONDS)
     this.#store.start()
-    this.#store.publish(publishedEntry(this.#settings, this.#environment.instance, this.#statusPort))
+    this.#store.publish(publishedRecord(this.#settings, this.#environment.instance, this.#statusPort))
     try {
       await runLoop(this.#loop, this.#entry, this.#handlers, this.#environment.now)
     } finally {
--- a/packages/daemon/src/peers.ts
+++ b/packages/daemon/src/peers.ts
@@ -1,7 +1,7 @@
 /** The streams between entries: one for each pair, opened by the greater instance. */
 import type { EntryEvent } from '@amaranthmast/coordination/entrytypes'
 import type { Instance, PeerMessage } from '@amaranthmast/coordination/messages'
-import { peerFrame, peerMessages } from '@amaranthmast/protocol/codec'
+import { encodePeerFrame, decodePeerFrame } from '@amaranthmast/protocol/codec'
 import type { PeerFrame } from '@amaranthmast/protocol/inner_pb'
 import type { HandlerContext } from '@connectrpc/connect'
 import type { Destination } from './dialer.ts'
@@ -24,18 +24,18 @@
       connected: peer => post({ type: 'peerConnected', peer }),
       message: (peer, message) => post({ type: 'peerMessage', peer, message }),
       disconnected: peer => post({ type: 'peerDisconnected', peer, refused: false })
-    }, peerFrame)
+    }, encodePeerFrame)
     super(links, environment)
     const { instance: own, log } = environment
     this.#own = own
     this.#post = post
     this.#links = links
-    this.#dial = { links, own, open: (client, frames, options) => client.peer(frames, options), messagesOf: peerMessages, log }
+    this.#dial = { links, own, open: (client, frames, options) => client.peer(frames, options), messagesOf: decodePeerFrame, log }
   }
 
   /** Serves the stream of a peer that has dialled. */
   serve (frames: AsyncIterable<PeerFrame>, context: HandlerContext): AsyncIterable<PeerFrame> {
-    return serveLink(this.#links, this.#own, frames, context, peerMessages)
+    return serveLink(this.#links, this.#own, frames, context, decodePeerFrame)
   }
 
   override connect (peers: readonly Destination[]): void {
--- a/packages/daemon/src/seeds.ts
+++ b/packages/daemon/src/seeds.ts
@@ -4,7 +4,7 @@
  * entries that know a newer one, and it takes no work before every member of its view has answered.
  */
 import type { Instance, View } from '@amaranthmast/coordination/messages'
-import { agentFrame, entryFrame, entryMessages } from '@amaranthmast/protocol/codec'
+import { encodeAgentFrame, encodeEntryFrame, decodeEntryFrame } from '@amaranthmast/protocol/codec'
 import type { AgentFrame, EntryFrame } from '@amaranthmast/protocol/inner_pb'
 import type { HandlerContext } from '@connectrpc/connect'
 import type { Environment } from './environment.ts'
@@ -23,7 +23,7 @@
 
 /** Answers such a stream: one greeting, and the end. */
 export async function * tellView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
-  yield entryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
+  yield encodeEntryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
 }
 
 /** The entries that an agent may ask. */
@@ -74,11 +74,11 @@
 
 /** The transport sends its headers only together with a first frame. */
 async function * greeting (): AsyncGenerator<AgentFrame> {
-  yield agentFrame([])
+  yield encodeAgentFrame([])
 }
 
 /** An entry that has not joined yet has nothing to tell. */
 function viewOf (frame: EntryFrame): View | undefined {
-  const views = entryMessages(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
+  const views = decodeEntryFrame(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
   return views.find(({ members }) => members.length > 0)
 }
--- a/packages/daemon/src/store.ts
+++ b/packages/daemon/src/store.ts
@@ -3,7 +3,7 @@
 import type { View } from '@amaranthmast/coordination/messages'
 import { Watcher } from '@amaranthmast/store/watcher'
 import { readStoredConfiguration } from '@amaranthmast/settings/configurationfile'
-import type { PublishedEntry } from '@amaranthmast/settings/publishedinstance'
+import type { PublishedRecord } from '@amaranthmast/settings/publishedinstance'
 import { configurationKey, viewKey } from '@amaranthmast/settings/storekeys'
 import { setTimeout as pause } from 'node:timers/promises'
 import { CONFIGURATION_POLL_MILLISECONDS, PUBLISH_RETRY_MILLISECONDS, VIEW_POLL_MILLISECONDS } from './defaults.ts'
@@ -52,7 +52,7 @@
    *
    * @param retryMilliseconds mean pause after a failure
    */
-  async publish ({ key, value }: PublishedEntry, retryMilliseconds = PUBLISH_RETRY_MILLISECONDS): Promise<void> {
+  async publish ({ key, value }: PublishedRecord, retryMilliseconds = PUBLISH_RETRY_MILLISECONDS): Promise<void> {
     const { signal } = this.#stopped
     while (!signal.aborted) {
       const result = await this.#options.client.put(key, value)
--- a/packages/protocol/test/codec.test.ts
+++ b/packages/protocol/test/codec.test.ts
@@ -1,18 +1,18 @@
-/** The codec against the generated protocol types: every kind of message, there and back. */
+/** Tests of the codec against the generated protocol types, with a round trip of every message type. */
 import type { AgentToEntry, Answer, EntryToAgent, Job, PeerMessage, View } from '@amaranthmast/coordination/messages'
 import type { DescMessage } from '@bufbuild/protobuf'
 import { AnswerKind, Cause, JobState, LedgerState, SubmitStatus, TaskOutcome } from '@amaranthmast/coordination/messages'
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf'
 import { expect } from 'earl'
 import { test } from 'node:test'
-import { agentFrame, agentMessages, CodecError, entryFrame, entryMessages, peerFrame, peerMessages } from '../src/codec.ts'
+import { encodeAgentFrame, decodeAgentFrame, CodecError, encodeEntryFrame, decodeEntryFrame, encodePeerFrame, decodePeerFrame } from '../src/codec.ts'
 import type { AgentItem, EntryItem, PeerItem } from '../src/inner_pb.ts'
 import {
   AgentFrameSchema, AgentItemSchema, AnswerKindSchema, CauseSchema, EntryFrameSchema, EntryItemSchema, JobStateSchema,
   LedgerStateSchema, PeerFrameSchema, PeerItemSchema, SubmitStatusSchema, TaskOutcomeSchema
 } from '../src/inner_pb.ts'
 
-/** A type without the marks of the generator: enums are numbers, and every part is there. */
+/** Removes the generator's additions from a type and widens enums to numbers. */
 type Plain<T> =
   T extends Uint8Array ? Uint8Array
     : T extends number ? number
@@ -21,7 +21,7 @@
           : T
 type Complete<T> = T extends Uint8Array ? T : T extends object ? { [Key in keyof T]-?: Complete<T[Key]> } : T
 type Known<T> = Exclude<T, { case: undefined }>
-/** Compiles only when the two sides have the same cases and fields. */
+/** Is `true` only if the decision logic's type and the wire type have the same cases and fields; otherwise `never`. */
 type Agrees<Logic extends Plain<Known<Wire>>, Wire extends { case: unknown }> =
   Complete<Plain<Known<Wire>>> extends Plain<Logic> ? true : never
 const agreements: [Agrees<EntryToAgent, EntryItem['message']>, Agrees<AgentToEntry, AgentItem['message']>, Agrees<PeerMessage, PeerItem['message']>] =
@@ -116,22 +116,22 @@
 ]
 
 const directions = [
-  { name: 'from an entry to an agent', item: EntryItemSchema, messages: toAgent, travelled: () => entryMessages(fromBinary(EntryFrameSchema, toBinary(EntryFrameSchema, entryFrame(toAgent)))) },
-  { name: 'from an agent to an entry', item: AgentItemSchema, messages: toEntry, travelled: () => agentMessages(fromBinary(AgentFrameSchema, toBinary(AgentFrameSchema, agentFrame(toEntry)))) },
-  { name: 'between entries', item: PeerItemSchema, messages: toPeer, travelled: () => peerMessages(fromBinary(PeerFrameSchema, toBinary(PeerFrameSchema, peerFrame(toPeer)))) }
+  { name: 'from an entry to an agent', item: EntryItemSchema, messages: toAgent, roundTrip: () => decodeEntryFrame(fromBinary(EntryFrameSchema, toBinary(EntryFrameSchema, encodeEntryFrame(toAgent)))) },
+  { name: 'from an agent to an entry', item: AgentItemSchema, messages: toEntry, roundTrip: () => decodeAgentFrame(fromBinary(AgentFrameSchema, toBinary(AgentFrameSchema, encodeAgentFrame(toEntry)))) },
+  { name: 'between entries', item: PeerItemSchema, messages: toPeer, roundTrip: () => decodePeerFrame(fromBinary(PeerFrameSchema, toBinary(PeerFrameSchema, encodePeerFrame(toPeer)))) }
 ]
 
-for (const { name, item, messages, travelled } of directions) {
-  test(`every kind of message ${name} has a sample here`, () => {
+for (const { name, item, messages, roundTrip } of directions) {
+  test(`every message type ${name} has a sample in this test`, () => {
     expect(messages.map(message => message.case as string)).toEqual(casesOf(item))
   })
 
-  test(`a frame ${name} arrives as it was sent, in order`, () => {
-    expect(travelled().map(withoutMarks)).toEqual(messages.map(withoutMarks))
+  test(`messages in a frame ${name} are unchanged and in order after a round trip`, () => {
+    expect(roundTrip().map(withoutTypeNames)).toEqual(messages.map(withoutTypeNames))
   })
 }
 
-test('the types of both sides agree', () => {
+test('the types of the decision logic and the wire format agree', () => {
   expect(agreements).toEqual([true, true, true])
 })
 
@@ -145,37 +145,37 @@
 ]
 
 for (const { name, logic, wire } of enums) {
-  test(`${name} has the same numbers on both sides`, () => {
+  test(`${name} has the same numbers in the decision logic and the wire format`, () => {
     const names = Object.entries(logic).filter(([, value]) => typeof value === 'number')
     expect(Object.fromEntries(names)).toEqual(Object.fromEntries(wire.values.map(value => [pascalCase(value.localName), value.number])))
   })
 }
 
-test('a payload is not copied when a frame is made', () => {
-  const frame = entryFrame([{ case: 'configuration', value: configuration }])
+test('encoding a frame does not copy payloads', () => {
+  const frame = encodeEntryFrame([{ case: 'configuration', value: configuration }])
   const message = frame.items[0]?.message
   expect(message?.case === 'configuration' && message.value.document === bytes).toEqual(true)
 })
 
-test('the messages that a frame is made of stay as they were', () => {
-  entryFrame([{ case: 'hello', value: hello }])
+test('encoding a frame does not modify its messages', () => {
+  encodeEntryFrame([{ case: 'hello', value: hello }])
   expect(Object.keys(hello.view)).toEqual(['version', 'members', 'fenced'])
 })
 
-test('kinds of a later release are left out', () => {
+test('message types of a later release are ignored', () => {
   const frame = create(PeerFrameSchema, { items: [{}, { message: { case: 'refused', value: { instance: 'entry-2#b' } } }] })
-  expect(peerMessages(frame).map(message => message.case)).toEqual(['refused'])
+  expect(decodePeerFrame(frame).map(message => message.case)).toEqual(['refused'])
 })
 
 const incomplete = [
-  { part: 'view of hello', read: () => peerMessages(create(PeerFrameSchema, { items: [{ message: { case: 'hello', value: {} } }] })) },
-  { part: 'needs of a dispatch', read: () => entryMessages(create(EntryFrameSchema, { items: [{ message: { case: 'dispatch', value: {} } }] })) },
-  { part: 'report of announce', read: () => agentMessages(create(AgentFrameSchema, { items: [{ message: { case: 'announce', value: { target: {} } } }] })) },
-  { part: 'needs of a task', read: () => peerMessages(create(PeerFrameSchema, { items: [{ message: { case: 'submit', value: { job: { tasks: [{}] } } } }] })) }
+  { part: 'view of hello', read: () => decodePeerFrame(create(PeerFrameSchema, { items: [{ message: { case: 'hello', value: {} } }] })) },
+  { part: 'needs of a dispatch', read: () => decodeEntryFrame(create(EntryFrameSchema, { items: [{ message: { case: 'dispatch', value: {} } }] })) },
+  { part: 'report of announce', read: () => decodeAgentFrame(create(AgentFrameSchema, { items: [{ message: { case: 'announce', value: { target: {} } } }] })) },
+  { part: 'needs of a task', read: () => decodePeerFrame(create(PeerFrameSchema, { items: [{ message: { case: 'submit', value: { job: { tasks: [{}] } } } }] })) }
 ]
 
 for (const { part, read } of incomplete) {
-  test(`a message without the ${part} is refused`, () => {
+  test(`a message without the ${part} is rejected`, () => {
     expect(read).toThrow(CodecError)
   })
 }
@@ -184,12 +184,12 @@
   return item.fields.map(field => field.localName)
 }
 
-/** Removes the type names that decoding adds, at every level. */
-function withoutMarks (value: unknown): unknown {
+/** Recursively removes the type names that decoding adds. */
+function withoutTypeNames (value: unknown): unknown {
   if (value instanceof Uint8Array) return [...value]
-  if (Array.isArray(value)) return value.map(withoutMarks)
+  if (Array.isArray(value)) return value.map(withoutTypeNames)
   if (typeof value !== 'object' || value === null) return value
-  return Object.fromEntries(Object.entries(value).filter(([key]) => key !== '$typeName').map(([key, part]) => [key, withoutMarks(part)]))
+  return Object.fromEntries(Object.entries(value).filter(([key]) => key !== '$typeName').map(([key, part]) => [key, withoutTypeNames(part)]))
 }
 
 function pascalCase (name: string): string {
--- a/packages/settings/src/configurationfile.ts
+++ b/packages/settings/src/configurationfile.ts
@@ -1,33 +1,33 @@
 /**
- * Schema of the operators' configuration file and of the record in which the store keeps it.
+ * Schema of the operators' configuration file and of the record in which it is stored.
  *
- * A provider declared with `expectedTargets` 0 has no target to run anything, so a share above 0 for
- * it is refused; a share of exactly 0 is accepted and marks the end of a move. An unknown field is
- * refused by the daemon too: one that does not understand a field must not claim to have the
- * document in force.
+ * A provider with `expectedTargets` 0 has no targets, so a share above 0 for it is rejected. A share of
+ * exactly 0 is accepted; it remains at the end of a migration to another provider. The daemon rejects
+ * unknown fields too, because a daemon that does not support a field must not report the document as
+ * being in effect.
  */
 import type { Configuration } from '@amaranthmast/coordination/configuration'
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 import * as z from 'zod/mini'
-import { DEFAULT_TENANT_WEIGHT, MAXIMUM_VALUE_BYTES } from './defaults.ts'
+import { DEFAULT_TENANT_WEIGHT, MAX_VALUE_BYTES } from './defaults.ts'
 import { DocumentRefused } from './errors.ts'
 import type { Fault } from './fault.ts'
 import { DOCUMENT_PATH, formatPath } from './fault.ts'
 import { countSchema, described, nameSchema } from './fields.ts'
 import { parseJson, validate } from './validation.ts'
 
-/** Sum of the shares of one service, in percent. */
-const WHOLE_SHARE = 100
+/** Required sum of the shares of one service, in percent. */
+const TOTAL_SHARE = 100
 
-/** Rounding allowed in the sum of shares with decimals. */
+/** Rounding error allowed in the sum of fractional shares. */
 const SHARE_TOLERANCE = 1e-6
 
-const shareSchema = described(z.number().check(z.minimum(0), z.maximum(WHOLE_SHARE)), 'Share of the provider in percent', 60)
+const shareSchema = described(z.number().check(z.minimum(0), z.maximum(TOTAL_SHARE)), 'Share of the provider in percent', 60)
 
 const sharesSchema = described(
   z.record(nameSchema, shareSchema).check(z.check(({ value, issues }) => {
-    const reason = sumFault(value)
+    const reason = describeShareSumFault(value)
     if (reason !== undefined) issues.push({ code: 'custom', message: reason, input: value })
   })),
   'Share of each provider in percent; the shares of one service sum to 100', { 'provider-a': 60, 'provider-b': 40 })
@@ -67,7 +67,7 @@
 /** Schema of the operators' configuration file. */
 export const configurationFileSchema = described(fileSchema, 'Configuration of an amaranthmast system')
 
-/** The operators' file, checked and with every default filled in. */
+/** Validated configuration file with all defaults applied. */
 export type ConfigurationFile = z.output<typeof fileSchema>
 
 const storedSchema = z.strictObject({
@@ -77,69 +77,69 @@
   document: described(z.unknown(), 'The configuration file', {})
 })
 
-/** One version of the configuration as the store keeps it. */
+/** Stored version of the configuration. */
 export interface StoredConfiguration {
   version: number
-  /** Names the apply that wrote it, so that a lost answer is settled by reading back. */
+  /** Identifies the apply that wrote it, so that a tool whose write got no response can read back whether it succeeded. */
   applyId: string
-  /** ISO 8601, by the clock of the tool that applied it. */
+  /** ISO 8601 time, from the clock of the tool that applied it. */
   appliedAt: string
   document: ConfigurationFile
 }
 
-/** Checks a value against the schema and the rules between its parts. */
+/** Validates a value against the schema and the rules between fields. */
 export function checkConfigurationFile (value: unknown): Result<ConfigurationFile, DocumentRefused> {
   return validate(configurationFileSchema, value).andThen((file) => {
-    const faults = [...shareFaults(file), ...drainFaults(file)]
+    const faults = [...findShareFaults(file), ...findDrainFaults(file)]
     return faults.length === 0 ? ok(file) : err(new DocumentRefused(faults))
   })
 }
 
-/** Checks the text of an operators' file; one that the store could not hold is refused. */
+/** Parses and validates the text of a configuration file. Rejects a file that exceeds the store's value size. */
 export function parseConfigurationFile (text: string): Result<ConfigurationFile, DocumentRefused> {
   const bytes = Buffer.byteLength(text)
-  if (bytes > MAXIMUM_VALUE_BYTES) return err(tooLarge(bytes))
+  if (bytes > MAX_VALUE_BYTES) return err(documentTooLarge(bytes))
   return parseJson(text).andThen(checkConfigurationFile)
 }
 
-/** The fault of a document that is larger than the store's values may be. */
-export function tooLarge (bytes: number): DocumentRefused {
-  const reason = `has ${bytes} bytes, and the key-value service holds ${MAXIMUM_VALUE_BYTES} at most`
+/** Error for a document that exceeds the store's maximum value size. */
+export function documentTooLarge (bytes: number): DocumentRefused {
+  const reason = `has ${bytes} bytes, and the key-value service holds ${MAX_VALUE_BYTES} at most`
   return new DocumentRefused([{ path: DOCUMENT_PATH, reason, example: 'fewer services or tenants' }])
 }
 
 /**
- * The configuration as the decision logic sees it, from a document as passed between instances.
- * @param document bytes of the operators' file
- * @param version the version under which the store accepted it
+ * Parses a document received from another instance into the form that the decision logic uses.
+ * @param document bytes of the configuration file
+ * @param version version under which the document is stored
  */
 export function parseConfiguration (document: Uint8Array, version: number): Result<Configuration, DocumentRefused> {
   return parseConfigurationFile(Buffer.from(document).toString('utf8')).map((file) => toConfiguration(file, version))
 }
 
-/** A stored record, ready for use: the configuration, and the document to pass on to other instances. */
-export interface ReadConfiguration {
+/** Configuration read from a stored record, together with the document to send to other instances. */
+export interface LoadedConfiguration {
   configuration: Configuration
-  /** Bytes for `parseConfiguration` at another instance. */
+  /** Input for `parseConfiguration` at another instance. */
   document: Uint8Array
 }
 
-/** Reads the value under the store's configuration key. */
-export function readStoredConfiguration (value: Uint8Array | string): Result<ReadConfiguration, DocumentRefused> {
+/** Parses the value of the configuration key in the store. */
+export function readStoredConfiguration (value: Uint8Array | string): Result<LoadedConfiguration, DocumentRefused> {
   return parseStoredConfiguration(value).map((stored) => ({
     configuration: toConfiguration(stored.document, stored.version),
     document: Buffer.from(JSON.stringify(stored.document))
   }))
 }
 
-/** Checks the record under the store's configuration key, or under one of its history keys. */
+/** Parses and validates the value of the configuration key or of a history key. */
 export function parseStoredConfiguration (value: Uint8Array | string): Result<StoredConfiguration, DocumentRefused> {
   return parseJson(typeof value === 'string' ? value : Buffer.from(value).toString('utf8'))
     .andThen((parsed) => validate(storedSchema, parsed))
     .andThen((stored) => checkConfigurationFile(stored.document).map((document) => ({ ...stored, document })))
 }
 
-/** The configuration as the decision logic sees it. */
+/** Converts a file to the form that the decision logic uses. */
 export function toConfiguration (file: ConfigurationFile, version: number): Configuration {
   return {
     version,
@@ -151,39 +151,39 @@
 }
 
 /**
- * With an ordinary object, a job for the service `constructor` finds the inherited function and is
- * taken as one of a known service. A record without prototype has only the names that it declares.
+ * Copies a record to an object without a prototype. In an ordinary object, looking up a service named
+ * `constructor` returns the inherited function, so a job for it would be accepted as one for a known service.
  */
 function withoutPrototype<Value> (record: Record<string, Value>): Record<string, Value> {
   return Object.assign(Object.create(null), record)
 }
 
-/** Things worth a look that an operator may still want. */
-export function warningsOf (file: ConfigurationFile): string[] {
+/** Returns warnings about valid settings that may be unintended. */
+export function findWarnings (file: ConfigurationFile): string[] {
   const draining = new Set(file.draining.providers)
   return Object.entries(file.services)
     .filter(([, service]) => providersWithShare(service.shares).every((provider) => draining.has(provider)))
     .map(([name]) => `services.${name}: every provider with a share is draining, so its jobs will be refused`)
 }
 
-function sumFault (shares: Record<string, number>): string | undefined {
+function describeShareSumFault (shares: Record<string, number>): string | undefined {
   const values = Object.values(shares)
   if (values.some((share) => typeof share !== 'number')) return undefined
   const sum = values.reduce((total, share) => total + share, 0)
-  if (Math.abs(sum - WHOLE_SHARE) <= SHARE_TOLERANCE) return undefined
-  return `shares sum to ${Number(sum.toFixed(6))}, not to ${WHOLE_SHARE}`
+  if (Math.abs(sum - TOTAL_SHARE) <= SHARE_TOLERANCE) return undefined
+  return `shares sum to ${Number(sum.toFixed(6))}, not to ${TOTAL_SHARE}`
 }
 
 function providersWithShare (shares: Record<string, number>): string[] {
   return Object.keys(shares).filter((provider) => (shares[provider] ?? 0) > 0)
 }
 
-function shareFaults (file: ConfigurationFile): Fault[] {
+function findShareFaults (file: ConfigurationFile): Fault[] {
   return Object.entries(file.services).flatMap(([service, { shares }]) =>
-    Object.keys(shares).flatMap((provider) => shareFault(file, service, provider)))
+    Object.keys(shares).flatMap((provider) => findShareFault(file, service, provider)))
 }
 
-function shareFault (file: ConfigurationFile, service: string, provider: string): Fault[] {
+function findShareFault (file: ConfigurationFile, service: string, provider: string): Fault[] {
   const path = formatPath(['services', service, 'shares', provider])
   const declared = Object.hasOwn(file.providers, provider) ? file.providers[provider] : undefined
   if (declared === undefined) {
@@ -194,7 +194,7 @@
   return [{ path, reason: `provider ${provider} has no target: its expectedTargets is 0`, example: '0, or an expectedTargets of 1 or more' }]
 }
 
-function drainFaults (file: ConfigurationFile): Fault[] {
+function findDrainFaults (file: ConfigurationFile): Fault[] {
   return file.draining.providers.flatMap((provider, index) => {
     if (Object.hasOwn(file.providers, provider)) return []
     const known = Object.keys(file.providers).join(', ')
--- a/packages/settings/src/difference.ts
+++ b/packages/settings/src/difference.ts
@@ -1,16 +1,16 @@
-/** What changes between two configuration files: as typed changes, and as lines for a person. */
+/** Differences between two configuration files, as typed changes and as readable lines. */
 import type { ConfigurationFile } from './configurationfile.ts'
 
-/** Parts of the fleet that can be drained. */
+/** Units of the fleet that can be drained. */
 export enum DrainKind {
   Target = 'target',
   Rack = 'rack',
-  /** Evacuates it. */
+  /** Draining a data centre evacuates it. */
   DataCentre = 'data-centre',
   Provider = 'provider'
 }
 
-/** Field of the draining lists that holds the names of each kind. */
+/** Field of `draining` that lists the drained names of each kind. */
 export const DRAIN_FIELDS = {
   [DrainKind.Target]: 'targets',
   [DrainKind.Rack]: 'racks',
@@ -18,10 +18,10 @@
   [DrainKind.Provider]: 'providers'
 } as const
 
-/** Field of a tenant's quota. */
+/** Name of a field of a tenant's quota. */
 export type QuotaField = keyof ConfigurationFile['tenants'][string]
 
-/** One change from a file to another. Shares are in percent. */
+/** Single change between two files. Shares are in percent. */
 export type Change =
   | { type: 'serviceAdded', service: string, shares: Record<string, number> }
   | { type: 'serviceRemoved', service: string }
@@ -37,13 +37,16 @@
 
 const QUOTA_FIELDS: readonly QuotaField[] = ['tasksPerSecond', 'burst', 'slots', 'weight']
 
-const EMPTY_FILE: ConfigurationFile = {
+const EMPTY_CONFIGURATION: ConfigurationFile = {
   editedFrom: 0, services: {}, providers: {}, tenants: {}, draining: { targets: [], racks: [], dataCentres: [], providers: [] }
 }
 
-/** Every change from one file to another; `editedFrom` and the order of names do not count. */
-export function differenceOf (before: ConfigurationFile | undefined, after: ConfigurationFile): Change[] {
-  const base = before ?? EMPTY_FILE
+/**
+ * Computes all changes from one file to another. Ignores `editedFrom` and the order of names.
+ * @param before undefined for the first file, which is compared with an empty one
+ */
+export function diffConfigurations (before: ConfigurationFile | undefined, after: ConfigurationFile): Change[] {
+  const base = before ?? EMPTY_CONFIGURATION
   return [
     ...serviceChanges(base, after),
     ...providerChanges(base, after),
@@ -52,7 +55,7 @@
   ]
 }
 
-/** The changes as lines: what is added, removed or changed, and what it leads to where that is not plain. */
+/** Formats changes as one line each: `+` added, `-` removed, `~` changed, `!` drain. Adds the effect where it is not obvious. */
 export function formatChanges (changes: readonly Change[]): string[] {
   return changes.map((change) => (FORMATS[change.type] as (change: Change) => string)(change))
 }
@@ -90,8 +93,8 @@
   return QUOTA_FORMATS[field](value)
 }
 
-/** Names of both records with what each holds, sorted by name. */
-function paired<Value> (before: Record<string, Value>, after: Record<string, Value>) {
+/** Joins two records by name, sorted by name. A value is undefined if its record lacks the name. */
+function pairByName<Value> (before: Record<string, Value>, after: Record<string, Value>) {
   const names = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort()
   return names.map((name) => ({ name, before: ownValue(before, name), after: ownValue(after, name) }))
 }
@@ -101,7 +104,7 @@
 }
 
 function serviceChanges (base: ConfigurationFile, next: ConfigurationFile): Change[] {
-  return paired(base.services, next.services).flatMap(({ name, before, after }): Change[] => {
+  return pairByName(base.services, next.services).flatMap(({ name, before, after }): Change[] => {
     if (after === undefined) return [{ type: 'serviceRemoved', service: name }]
     if (before === undefined) return [{ type: 'serviceAdded', service: name, shares: after.shares }]
     return shareChanges(name, before.shares, after.shares)
@@ -109,14 +112,14 @@
 }
 
 function shareChanges (service: string, base: Record<string, number>, next: Record<string, number>): Change[] {
-  return paired(base, next).flatMap(({ name, before = 0, after = 0 }): Change[] => {
+  return pairByName(base, next).flatMap(({ name, before = 0, after = 0 }): Change[] => {
     if (before === after) return []
     return [{ type: 'shareChanged', service, provider: name, before, after }]
   })
 }
 
 function providerChanges (base: ConfigurationFile, next: ConfigurationFile): Change[] {
-  return paired(base.providers, next.providers).flatMap(({ name, before, after }): Change[] => {
+  return pairByName(base.providers, next.providers).flatMap(({ name, before, after }): Change[] => {
     if (after === undefined) return [{ type: 'providerRemoved', provider: name }]
     if (before === undefined) return [{ type: 'providerAdded', provider: name, expectedTargets: after.expectedTargets }]
     if (before.expectedTargets === after.expectedTargets) return []
@@ -125,7 +128,7 @@
 }
 
 function tenantChanges (base: ConfigurationFile, next: ConfigurationFile): Change[] {
-  return paired(base.tenants, next.tenants).flatMap(({ name, before, after }): Change[] => {
+  return pairByName(base.tenants, next.tenants).flatMap(({ name, before, after }): Change[] => {
     if (after === undefined) return [{ type: 'tenantRemoved', tenant: name }]
     if (before === undefined) return [{ type: 'tenantAdded', tenant: name, quota: after }]
     return QUOTA_FIELDS
--- a/packages/settings/src/errors.ts
+++ b/packages/settings/src/errors.ts
@@ -1,8 +1,8 @@
-/** Errors of the settings layer. */
+/** Errors of reading and validating settings and configuration files. */
 import type { Fault } from './fault.ts'
 import { formatFault } from './fault.ts'
 
-/** Any error of this layer. */
+/** Base class of the errors. */
 export abstract class SettingsError extends Error {
   abstract readonly code: string
 }
@@ -13,7 +13,7 @@
   readonly path: string
 
   /**
-   * @param path the file
+   * @param path path of the file
    * @param reason the operating system's message
    */
   constructor (path: string, reason: string) {
@@ -23,7 +23,7 @@
   }
 }
 
-/** The document was read and has faults. */
+/** The document was read but is invalid. The message has one line per fault. */
 export class DocumentRefused extends SettingsError {
   readonly code = 'DOCUMENT_REFUSED'
   readonly faults: readonly Fault[]
--- a/packages/settings/src/fault.ts
+++ b/packages/settings/src/fault.ts
@@ -1,26 +1,26 @@
-/** Faults of a checked document: where, why, and what would be right. */
+/** Validation faults of a document: location, reason and an example of a valid value. */
 
-/** One fault. */
+/** Single validation fault. */
 export interface Fault {
-  /** Path of the faulty value, as in `services.label-check.shares`. */
+  /** Path of the invalid value, such as `services.label-check.shares`. */
   path: string
-  /** Why the value is refused. */
+  /** Why the value is invalid. */
   reason: string
-  /** A value that would be accepted, or what is known at this place. */
+  /** A valid value, or the names that are known at this location. */
   example: string
 }
 
-/** Path shown for a fault of the document as a whole. */
+/** Path of a fault that concerns the whole document. */
 export const DOCUMENT_PATH = '(document)'
 
 const PLAIN_KEY = /^[A-Za-z0-9_-]+$/
 
-/** The fault as one line of text. */
+/** Formats a fault as one line of text. */
 export function formatFault (fault: Fault): string {
   return `${fault.path}: ${fault.reason}; example: ${fault.example}`
 }
 
-/** The path as a person writes it: keys joined by dots, indexes and unusual keys in brackets. */
+/** Formats a path: keys joined by dots, indexes and keys with special characters in brackets. */
 export function formatPath (path: readonly PropertyKey[]): string {
   const text = path.map(formatStep).join('')
   if (text === '') return DOCUMENT_PATH
--- a/packages/settings/src/publishedinstance.ts
+++ b/packages/settings/src/publishedinstance.ts
@@ -1,21 +1,21 @@
-/** Where an entry publishes the address of its status port, so that the tool finds it. */
+/** Builds the record in which an entry publishes the address of its status listener for the command-line tool. */
 import type { EntrySettings } from './settingstypes.ts'
 import type { PublishedInstance } from './storekeys.ts'
 import { instanceKey } from './storekeys.ts'
 
-/** A key of the store with its value. */
-export interface PublishedEntry {
+/** Key and value to write to the store. */
+export interface PublishedRecord {
   key: string
   value: string
 }
 
 /**
- * What an entry writes once, when its status listener is up. The host is that of the inner address,
- * which other machines can reach whatever the listener is bound to.
+ * Returns the record that an entry writes once, when its status listener is ready. The host is taken
+ * from the address for peers: other machines can reach it regardless of what the status listener binds to.
  * @param instance `id#incarnation`
- * @param statusPort port that the status listener has
+ * @param statusPort actual port of the status listener
  */
-export function publishedEntry (settings: EntrySettings, instance: string, statusPort: number): PublishedEntry {
+export function publishedRecord (settings: EntrySettings, instance: string, statusPort: number): PublishedRecord {
   const address = new URL(settings.peers.address)
   const published: PublishedInstance = { instance, status: `http://${address.hostname}:${statusPort}` }
   return { key: instanceKey(settings.store.prefix, settings.id), value: JSON.stringify(published) }
--- a/packages/settings/src/publishschemas.ts
+++ b/packages/settings/src/publishschemas.ts
@@ -1,4 +1,4 @@
-/** Writes the published JSON Schemas; run it after every change of a schema. */
+/** Writes the published JSON Schema files. Run this script after every schema change. */
 import { writeFileSync } from 'node:fs'
 import type { PublishedSchemaName } from './schema.ts'
 import { PUBLISHED_SCHEMAS, schemaText } from './schema.ts'
--- a/packages/settings/src/schema.ts
+++ b/packages/settings/src/schema.ts
@@ -1,9 +1,9 @@
-/** The published JSON Schemas, generated from the schemas that the programs check with. */
+/** Generates the published JSON Schemas from the schemas that the programs validate with. */
 import * as z from 'zod/mini'
 import { configurationFileSchema } from './configurationfile.ts'
 import { settingsSchema } from './settings.ts'
 
-/** Published files by name, in `packages/settings/schema`. */
+/** Schemas by the name of their published file in `packages/settings/schema`. */
 export const PUBLISHED_SCHEMAS = {
   'settings.json': settingsSchema,
   'configuration.json': configurationFileSchema
@@ -12,7 +12,7 @@
 /** Name of a published file. */
 export type PublishedSchemaName = keyof typeof PUBLISHED_SCHEMAS
 
-/** Text of a published file. Rules between fields, such as the sum of shares, are not part of it. */
+/** Generates the text of a published file. Rules between fields, such as the sum of shares, are not included. */
 export function schemaText (name: PublishedSchemaName): string {
   const schema = z.toJSONSchema(PUBLISHED_SCHEMAS[name], { io: 'input', target: 'draft-2020-12' })
   return JSON.stringify(schema, undefined, 2) + '\n'
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Schema of the daemon's settings file. This is the only module through which a daemon loads the
- * schema library for its own settings; import it dynamically, and types from `settingstypes.ts`.
+ * Schema of the daemon's settings file. A daemon loads the schema library for its own settings only
+ * through this module. To save memory, import it dynamically and import types from `settingstypes.ts`.
  */
 import { readFileSync } from 'node:fs'
 import type { Timings } from '@amaranthmast/coordination/defaults'
@@ -12,21 +12,21 @@
 import {
   DEFAULT_ACCELERATORS, DEFAULT_CALLERS_PORT, DEFAULT_HOST, DEFAULT_LOG_LEVEL, DEFAULT_MEMORY_MEGABYTES,
   DEFAULT_PEERS_PORT, DEFAULT_SLOTS, DEFAULT_STATUS_PORT, DEFAULT_STORE_PREFIX, DEFAULT_STORE_TIMEOUT_MILLISECONDS,
-  MAXIMUM_SEEDS
+  MAX_SEEDS
 } from './defaults.ts'
 import type { SettingsError } from './errors.ts'
 import { DocumentRefused, FileUnreadable } from './errors.ts'
 import { countSchema, described, millisecondsSchema, nameSchema, optionalNameSchema, portSchema, prefixSchema, urlSchema } from './fields.ts'
 import type { AgentSettings, EntrySettings, Settings } from './settingstypes.ts'
 import { LogLevel, Role } from './settingstypes.ts'
-import { faultsOfTimings } from './timingrelations.ts'
+import { findTimingFaults } from './timingconstraints.ts'
 import { parseJson, validate } from './validation.ts'
 
 export type { AgentSettings, EntrySettings, Settings } from './settingstypes.ts'
 
 const ADDRESS_EXAMPLE = '"http://10.0.0.7:7101"'
 
-/** Addresses that name every interface: nobody can connect to them. */
+/** Wildcard addresses, which stand for all interfaces and cannot be connected to. */
 const WILDCARD_HOSTS = new Set(['0.0.0.0', '::'])
 
 const hostSchema = z._default(described(z.string().check(z.minLength(1)), 'IP number to bind to', '10.0.0.7'), DEFAULT_HOST)
@@ -38,7 +38,7 @@
   }
 }
 
-/** One optional field for each timing that the decision logic knows. */
+/** Builds one optional field for each timing of the decision logic. */
 function timingFields () {
   const fields = Object.entries(DEFAULT_TIMINGS).map(([name, milliseconds]) =>
     [name, z.optional(described(millisecondsSchema, `Milliseconds; ${milliseconds} when absent`, milliseconds))])
@@ -93,7 +93,7 @@
   role: described(z.literal(Role.Agent), 'What this daemon does', Role.Agent),
   ...commonFields,
   target: described(targetSchema, 'The target beside this agent', { url: 'http://127.0.0.1:6101', provider: 'provider-a', services: ['label-check'] }),
-  seeds: z._default(described(z.array(described(urlSchema, 'URL of the inner listener of an entry', 'http://10.0.0.7:7101')).check(z.maxLength(MAXIMUM_SEEDS)),
+  seeds: z._default(described(z.array(described(urlSchema, 'URL of the inner listener of an entry', 'http://10.0.0.7:7101')).check(z.maxLength(MAX_SEEDS)),
     'Entries that are asked for the view while the key-value service cannot be reached', ['http://10.0.0.7:7101', 'http://10.0.1.7:7101']), [])
 })
 
@@ -101,17 +101,17 @@
 export const settingsSchema = described(z.discriminatedUnion('role', [entrySchema, agentSchema]),
   'Settings of one amaranthmast daemon')
 
-/** Checks a value read from a settings file and fills in every default. */
+/** Validates a value read from a settings file and applies all defaults. */
 export function checkSettings (value: unknown): Result<Settings, DocumentRefused> {
   return validate(settingsSchema, value).andThen((checked) => {
-    const faults = faultsOfTimings(checked.timings)
+    const faults = findTimingFaults(checked.timings)
     if (faults.length > 0) return err(new DocumentRefused(faults))
     if (checked.role === Role.Agent) return ok<AgentSettings>(checked)
-    return fillAddress(checked)
+    return fillPeersAddress(checked)
   })
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function readSettings (path: string): Result<Settings, SettingsError> {
   return readText(path).andThen(parseJson).andThen(checkSettings)
 }
@@ -126,10 +126,11 @@
 }
 
 /**
- * An entry that advertises every interface, or the port 0, is unreachable: it would join the view
- * and every peer would connect to itself, or to nothing. Such settings must name the address.
+ * Applies the default of `peers.address`. If the listener binds to a wildcard address or to port 0, the
+ * address must be given: an entry that advertises these would join the view, but its peers would connect
+ * to themselves or fail to connect.
  */
-function fillAddress (checked: z.output<typeof entrySchema>): Result<EntrySettings, DocumentRefused> {
+function fillPeersAddress (checked: z.output<typeof entrySchema>): Result<EntrySettings, DocumentRefused> {
   const { host, port, address } = checked.peers
   if (address !== undefined) return ok({ ...checked, peers: { host, port, address } })
   if (WILDCARD_HOSTS.has(host)) {
--- a/packages/settings/src/settingstypes.ts
+++ b/packages/settings/src/settingstypes.ts
@@ -1,16 +1,16 @@
-/** The daemon's settings with every default filled in. Free of any library, so that it costs no memory. */
+/** Types of the daemon's settings with all defaults applied. Imports no library, to save memory. */
 import type { Timings } from '@amaranthmast/coordination/defaults'
 import type { PolicyName } from '@amaranthmast/coordination/policies'
 
-/** What one daemon does. */
+/** Role of a daemon. */
 export enum Role {
-  /** Takes jobs from callers and dispatches their tasks. */
+  /** Accepts jobs from callers and dispatches their tasks. */
   Entry = 'entry',
   /** Announces the target beside it and starts its tasks. */
   Agent = 'agent'
 }
 
-/** Least severity that is logged. */
+/** Minimum severity that is logged. */
 export enum LogLevel {
   Fatal = 'fatal',
   Error = 'error',
@@ -29,37 +29,37 @@
   port: number
 }
 
-/** Inner listener of an entry. */
+/** Listener of an entry for agents and other entries. */
 export interface PeersSettings extends ListenerSettings {
-  /** URL under which agents and other entries reach the listener. @default made of host and port */
+  /** URL at which agents and other entries reach the listener. @default built from host and port */
   address: string
 }
 
 /** Access to the key-value service. */
 export interface StoreSettings {
-  /** URLs of its instances, tried in turn. */
+  /** URLs of the service's instances, tried in turn. */
   endpoints: string[]
   /** Prefix of every key; ends in a slash. @default '/amaranthmast/' */
   prefix: string
-  /** Time limit of one call, in milliseconds. @default 1000 */
+  /** Timeout of one call, in milliseconds. @default 1000 */
   timeoutMilliseconds: number
 }
 
 /** The target beside an agent. */
 export interface TargetSettings {
-  /** Base URL; tasks are posted to `{url}/run`. */
+  /** Base URL; tasks are sent with POST to `{url}/run`. */
   url: string
   provider: string
   services: string[]
-  /** Tasks that run at one time. @default 8 */
+  /** Number of tasks that run concurrently. @default 8 */
   slots: number
-  /** @default 0 */
+  /** Number of accelerators of the target. @default 0 */
   accelerators: number
-  /** Memory offered to tasks that declare a need for it, in megabytes. @default 0 */
+  /** Memory offered to tasks that declare a memory need, in megabytes. @default 0 */
   memoryMegabytes: number
 }
 
-/** Settings of both roles. */
+/** Settings common to both roles. */
 export interface CommonSettings {
   /** Stable name; unique among the daemons of its role. */
   id: string
@@ -69,7 +69,7 @@
   store: StoreSettings
   /** Listener for health, metrics and status. */
   status: ListenerSettings
-  /** Overrides of the default timings, in milliseconds, by the name of the timing. @default {} */
+  /** Overrides of the default timings by name, in milliseconds. @default {} */
   timings: Partial<Timings>
   log: { level: LogLevel }
 }
@@ -88,7 +88,7 @@
 export interface AgentSettings extends CommonSettings {
   role: Role.Agent
   target: TargetSettings
-  /** URLs of inner listeners of a few entries, asked for the view while the key-value service cannot be. @default [] */
+  /** URLs of the peer listeners of a few entries. The agent reads the view from them while the key-value service is unavailable. @default [] */
   seeds: string[]
 }
 
--- a/packages/settings/src/storekeys.ts
+++ b/packages/settings/src/storekeys.ts
@@ -1,29 +1,29 @@
-/** Names of the keys that the system keeps in the key-value service, each under the settings' prefix. */
+/** Keys that the system uses in the key-value service. All start with the prefix from the settings. */
 
-/** Versions of the configuration that are kept; older ones are overwritten, so that the store does not grow. */
+/** Number of configuration versions kept. Older versions are overwritten, so that the store does not grow. */
 export const HISTORY_VERSIONS = 1000
 
 const HISTORY_DIGITS = 8
 
-/** Key of the configuration in force: a `StoredConfiguration`. */
+/** Key of the configuration in effect. Its value is a `StoredConfiguration`. */
 export function configurationKey (prefix: string): string {
   return `${prefix}configuration`
 }
 
-/** Key of one past version: a `StoredConfiguration`, written in the same transaction as the version itself. */
+/** History key of a version. Its value is a `StoredConfiguration`, written in the same transaction as the configuration key. */
 export function historyKey (prefix: string, version: number): string {
   const slot = version % HISTORY_VERSIONS
   return `${prefix}history/${String(slot).padStart(HISTORY_DIGITS, '0')}`
 }
 
-/** Key of the view of the entries. */
+/** Key of the entries' view. */
 export function viewKey (prefix: string): string {
   return `${prefix}view`
 }
 
 /**
- * Key of the address under which an entry's status is found: a `PublishedInstance`. An entry writes
- * it once, when it joins, under its id, so that its next incarnation overwrites it.
+ * Key of an entry's status address. Its value is a `PublishedInstance`. An entry writes it once, when it
+ * joins. The key contains only the entry's id, so that its next incarnation overwrites the value.
  */
 export function instanceKey (prefix: string, id: string): string {
   return `${instancePrefix(prefix)}${id}`
@@ -34,7 +34,7 @@
   return `${prefix}instances/`
 }
 
-/** Where the tool finds an entry's status. */
+/** Address of an entry's status listener, for the command-line tool. */
 export interface PublishedInstance {
   /** `id#incarnation` */
   instance: string
--- a/packages/settings/src/timingrelations.ts
+++ b/packages/settings/src/timingconstraints.ts
@@ -1,26 +1,26 @@
-/** How the timings of one daemon must stand to each other. Each alone may be right and the whole useless. */
+/** Constraints between the timings of one daemon. Timings that are valid on their own can be unusable in combination. */
 import type { Timings } from '@amaranthmast/coordination/defaults'
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import type { Fault } from './fault.ts'
 
-/** One timing that others give a least value. */
-interface Relation {
+/** Minimum value of a timing that depends on other timings. */
+interface TimingConstraint {
   timing: keyof Timings
-  /** Least value in milliseconds, given all timings. */
+  /** Computes the minimum value in milliseconds from all timings. */
   least: (timings: Timings) => number
-  /** How the least value is made, for a person. */
+  /** Formula of the minimum, for error messages. */
   made: string
-  /** What goes wrong below it. */
+  /** Consequence of a smaller value, for error messages. */
   otherwise: string
 }
 
 const SUSPECT_HEARTBEATS = 3
 const CONTACT_HEARTBEATS = 2
 const AGENT_LOST_HEARTBEATS = 3
-/** An entry that has lost most others waits four suspect times before it removes one. */
+/** An entry that has lost contact with most others waits four `suspect` times before it removes one. */
 const RETENTION_SUSPECTS = 4
 
-const RELATIONS: readonly Relation[] = [
+const TIMING_CONSTRAINTS: readonly TimingConstraint[] = [
   {
     timing: 'suspect',
     least: ({ heartbeat }) => SUSPECT_HEARTBEATS * heartbeat,
@@ -53,13 +53,13 @@
   }
 ]
 
-/** Faults of the timings as they will be in force, the defaults included. */
-export function faultsOfTimings (given: Partial<Timings>): Fault[] {
-  const timings = { ...DEFAULT_TIMINGS, ...given }
-  return RELATIONS.flatMap(({ timing, least, made, otherwise }) => {
-    const bound = least(timings)
-    if (timings[timing] >= bound) return []
-    const found = given[timing] === undefined ? `is ${timings[timing]} when absent and` : `is ${timings[timing]} and`
-    return [{ path: `timings.${timing}`, reason: `${found} must be at least ${bound} (${made}), else ${otherwise}`, example: String(bound) }]
+/** Checks the effective timings, including defaults, against all constraints. */
+export function findTimingFaults (overrides: Partial<Timings>): Fault[] {
+  const timings = { ...DEFAULT_TIMINGS, ...overrides }
+  return TIMING_CONSTRAINTS.flatMap(({ timing, least, made, otherwise }) => {
+    const minimum = least(timings)
+    if (timings[timing] >= minimum) return []
+    const actual = overrides[timing] === undefined ? `is ${timings[timing]} when absent and` : `is ${timings[timing]} and`
+    return [{ path: `timings.${timing}`, reason: `${actual} must be at least ${minimum} (${made}), else ${otherwise}`, example: String(minimum) }]
   })
 }
--- a/packages/settings/src/validation.ts
+++ b/packages/settings/src/validation.ts
@@ -1,4 +1,4 @@
-/** Checks a value against a zod schema and turns the library's issues into faults with examples. */
+/** Validates a value against a zod schema and converts the library's issues to faults with examples. */
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
 import * as z from 'zod/mini'
@@ -12,7 +12,7 @@
 
 const EXAMPLE_NAME = 'label-check'
 
-/** Parses JSON text; the position of a syntax error is in the fault's reason. */
+/** Parses JSON text. The reason of the fault is the parser's message. */
 export function parseJson (text: string): Result<unknown, DocumentRefused> {
   try {
     return ok(JSON.parse(text, refuseReservedKey))
@@ -23,39 +23,39 @@
 }
 
 /**
- * `__proto__` is dropped silently by schemas of records: a service of that name would be accepted
- * and never be served. Refusing the key in the text is the only place that still sees it.
+ * Rejects the key `__proto__`. Record schemas drop it silently, so a service with that name would be
+ * accepted but never served. Only the JSON reviver can still detect the key.
  */
 function refuseReservedKey (key: string, value: unknown): unknown {
   if (key === '__proto__') throw new SyntaxError('the name __proto__ is reserved')
   return value
 }
 
-/** Checks a value; all faults are reported at once. */
+/** Validates a value and reports all faults at once. */
 export function validate<S extends Schema> (schema: S, value: unknown): Result<z.output<S>, DocumentRefused> {
   const parsed = z.safeParse(schema, value)
   if (parsed.success) return ok(parsed.data)
-  return err(new DocumentRefused(parsed.error.issues.flatMap((issue) => faultsOf(schema, issue, value))))
+  return err(new DocumentRefused(parsed.error.issues.flatMap((issue) => toFaults(schema, issue, value))))
 }
 
-function faultsOf (schema: Schema, issue: Issue, value: unknown): Fault[] {
-  if (issue.code === 'unrecognized_keys') return unknownFields(schema, issue, value)
-  const found = valueAt(value, issue.path)
+function toFaults (schema: Schema, issue: Issue, value: unknown): Fault[] {
+  if (issue.code === 'unrecognized_keys') return toUnknownFieldFaults(schema, issue, value)
+  const actual = valueAt(value, issue.path)
   const example = exampleAt(schema, issue, value)
-  return [{ path: formatPath(issue.path), reason: reasonOf(issue, found), example }]
+  return [{ path: formatPath(issue.path), reason: formatReason(issue, actual), example }]
 }
 
-function unknownFields (schema: Schema, issue: Issue & { code: 'unrecognized_keys' }, value: unknown): Fault[] {
-  const place = schemaAt(schema, issue.path, value)
-  const known = place === undefined ? [] : fieldsOf(place)
+function toUnknownFieldFaults (schema: Schema, issue: Issue & { code: 'unrecognized_keys' }, value: unknown): Fault[] {
+  const objectSchema = schemaAt(schema, issue.path, value)
+  const known = objectSchema === undefined ? [] : fieldsOf(objectSchema)
   const example = known.length === 0 ? 'none' : `one of the known fields ${known.join(', ')}`
   return issue.keys.map((key) => ({ path: formatPath([...issue.path, key]), reason: 'is an unknown field', example }))
 }
 
 const REASONS: { [Code in Issue['code']]?: (issue: Issue & { code: Code }, found: unknown) => string } = {
-  invalid_type: (issue, found) => `must be ${TYPE_NAMES[issue.expected] ?? issue.expected}, not ${nameType(found)}`,
-  too_small: (issue) => `must ${boundOf(issue.origin, 'least', issue.minimum, issue.inclusive)}`,
-  too_big: (issue) => `must ${boundOf(issue.origin, 'most', issue.maximum, issue.inclusive)}`,
+  invalid_type: (issue, found) => `must be ${TYPE_NAMES[issue.expected] ?? issue.expected}, not ${describeType(found)}`,
+  too_small: (issue) => `must ${formatBound(issue.origin, 'least', issue.minimum, issue.inclusive)}`,
+  too_big: (issue) => `must ${formatBound(issue.origin, 'most', issue.maximum, issue.inclusive)}`,
   invalid_format: (issue, found) => `${issue.message}, not ${JSON.stringify(found)}`,
   invalid_value: (issue) => `must be one of ${issue.values.map(String).join(', ')}`,
   invalid_union: (issue) => `must be one of ${(issue as { options?: unknown[] }).options?.join(', ') ?? 'the known forms'}`,
@@ -73,13 +73,13 @@
   record: 'an object'
 }
 
-function reasonOf (issue: Issue, found: unknown): string {
-  if (found === undefined && issue.code !== 'custom') return 'is missing'
+function formatReason (issue: Issue, actual: unknown): string {
+  if (actual === undefined && issue.code !== 'custom') return 'is missing'
   const handler = REASONS[issue.code] as ((issue: Issue, found: unknown) => string) | undefined
-  return handler === undefined ? issue.message : handler(issue, found)
+  return handler === undefined ? issue.message : handler(issue, actual)
 }
 
-function nameType (value: unknown): string {
+function describeType (value: unknown): string {
   if (value === null) return 'null'
   if (Array.isArray(value)) return 'a list'
   if (typeof value === 'number') return String(value)
@@ -88,7 +88,7 @@
   return String(value)
 }
 
-function boundOf (origin: string, side: 'least' | 'most', bound: unknown, inclusive = true): string {
+function formatBound (origin: string, side: 'least' | 'most', bound: unknown, inclusive = true): string {
   if (origin === 'string') return `have at ${side} ${String(bound)} characters`
   if (origin === 'array') return `have at ${side} ${String(bound)} ${bound === 1 ? 'item' : 'items'}`
   if (inclusive) return `be at ${side} ${String(bound)}`
@@ -107,13 +107,13 @@
 function exampleAt (schema: Schema, issue: Issue, value: unknown): string {
   if (issue.code === 'custom' && typeof issue.params?.example === 'string') return issue.params.example
   if (issue.code === 'invalid_key') return EXAMPLE_NAME
-  const place = schemaAt(schema, issue.path, value)
-  return place === undefined ? 'none' : exampleOf(place)
+  const valueSchema = schemaAt(schema, issue.path, value)
+  return valueSchema === undefined ? 'none' : exampleOf(valueSchema)
 }
 
-/** The example registered for a schema, as JSON; for an object without one, its fields. */
+/** Returns the example registered for a schema as JSON, or the field names of an object schema without an example. */
 function exampleOf (schema: Schema): string {
-  for (let current: Schema | undefined = schema; current !== undefined; current = innerOf(current)) {
+  for (let current: Schema | undefined = schema; current !== undefined; current = innerSchema(current)) {
     const examples = z.globalRegistry.get(current)?.examples as unknown[] | undefined
     if (examples !== undefined) return JSON.stringify(examples[0])
   }
@@ -121,7 +121,7 @@
   return fields.length === 0 ? '{}' : `an object with ${fields.join(', ')}`
 }
 
-/** The parts of zod's definitions that are followed here. */
+/** Subset of zod's schema definition that is used here. */
 interface Definition {
   type: string
   shape?: Record<string, Schema>
@@ -136,12 +136,12 @@
   return schema._zod.def as unknown as Definition
 }
 
-function innerOf (schema: Schema): Schema | undefined {
+function innerSchema (schema: Schema): Schema | undefined {
   return definitionOf(schema).innerType
 }
 
 function unwrap (schema: Schema): Schema {
-  const inner = innerOf(schema)
+  const inner = innerSchema(schema)
   return inner === undefined ? schema : unwrap(inner)
 }
 
@@ -149,17 +149,17 @@
   return Object.keys(definitionOf(unwrap(schema)).shape ?? {})
 }
 
-/** The schema that the value at the path was checked against. */
+/** Returns the schema that the value at the path was validated against. */
 function schemaAt (schema: Schema, path: Path, value: unknown): Schema | undefined {
   const definition = definitionOf(unwrap(schema))
-  if (definition.options !== undefined) return schemaAt(chooseOption(definition, value), path, value)
+  if (definition.options !== undefined) return schemaAt(selectOption(definition, value), path, value)
   const [step, ...rest] = path
   if (step === undefined) return schema
   const next = definition.shape?.[String(step)] ?? definition.valueType ?? definition.element
   return next === undefined ? undefined : schemaAt(next, rest, valueAt(value, [step]))
 }
 
-function chooseOption (definition: Definition, value: unknown): Schema {
+function selectOption (definition: Definition, value: unknown): Schema {
   const options = definition.options ?? []
   const tag = valueAt(value, [definition.discriminator ?? ''])
   const match = options.find((option) => {
--- a/packages/settings/test/difference.test.ts
+++ b/packages/settings/test/difference.test.ts
@@ -1,8 +1,8 @@
-/** What a person is told of the change between two files. */
+/** Tests of the lines that describe the changes between two files. */
 import { test } from 'node:test'
 import { expect } from 'earl'
 import type { ConfigurationFile } from '../src/configurationfile.ts'
-import { differenceOf, formatChanges } from '../src/difference.ts'
+import { diffConfigurations, formatChanges } from '../src/difference.ts'
 
 const BASE: ConfigurationFile = {
   editedFrom: 1,
@@ -12,47 +12,47 @@
   draining: { targets: [], racks: ['r1'], dataCentres: [], providers: [] }
 }
 
-const CASES: Array<{ story: string, after: Partial<ConfigurationFile>, lines: string[] }> = [
-  { story: 'only the base version', after: { editedFrom: 9 }, lines: [] },
+const CASES: Array<{ name: string, after: Partial<ConfigurationFile>, lines: string[] }> = [
+  { name: 'only the base version', after: { editedFrom: 9 }, lines: [] },
   {
-    story: 'a share that moves to another provider',
+    name: 'a share that moves to another provider',
     after: { services: { 'label-check': { shares: { 'provider-a': 20, 'provider-c': 80 } } } },
     lines: ['~ service label-check: share of provider-a 60 % -> 20 %', '~ service label-check: share of provider-b 40 % -> 0 %', '~ service label-check: share of provider-c 0 % -> 80 %']
   },
   {
-    story: 'one service in place of another',
+    name: 'one service in place of another',
     after: { services: { certificate: { shares: { 'provider-a': 100 } } } },
     lines: ['+ service certificate: provider-a 100 %', '- service label-check: new jobs for it are refused']
   },
   {
-    story: 'providers',
+    name: 'providers',
     after: { providers: { 'provider-a': { expectedTargets: 4 }, 'provider-c': { expectedTargets: 1 } } },
     lines: ['~ provider provider-a: expected targets 3 -> 4', '- provider provider-b: its targets receive no new work', '+ provider provider-c: 1 target expected']
   },
   {
-    story: 'quotas',
+    name: 'quotas',
     after: { tenants: { magnolia: { tasksPerSecond: 500, burst: 140, slots: 0, weight: 2 } } },
     lines: ['~ tenant magnolia: no limit of tasks per second -> 500 tasks per second', '~ tenant magnolia: burst 0 -> burst 140', '~ tenant magnolia: 40 slots -> no limit of slots', '~ tenant magnolia: weight 1 -> weight 2']
   },
   {
-    story: 'one tenant in place of another',
+    name: 'one tenant in place of another',
     after: { tenants: { vaalrand: { tasksPerSecond: 0, burst: 0, slots: 0, weight: 1 } } },
     lines: ['- tenant magnolia: its new jobs are refused', '+ tenant vaalrand: no limit of tasks per second, burst 0, no limit of slots, weight 1']
   },
   {
-    story: 'drains',
+    name: 'drains',
     after: { draining: { targets: ['agent-3'], racks: [], dataCentres: ['gulf-1'], providers: ['provider-a'] } },
     lines: ['! drain target agent-3: no new work, what runs is finished', '! end the drain of rack r1: it receives work again', '! drain data-centre gulf-1: no new work, what runs is finished', '! drain provider provider-a: no new work, what runs is finished']
   }
 ]
 
-for (const { story, after, lines } of CASES) {
-  test(`difference: ${story}`, () => {
-    expect(formatChanges(differenceOf(BASE, { ...BASE, ...after }))).toEqual(lines)
+for (const { name, after, lines } of CASES) {
+  test(`difference: ${name}`, () => {
+    expect(formatChanges(diffConfigurations(BASE, { ...BASE, ...after }))).toEqual(lines)
   })
 }
 
-test('the first file is all new', () => {
-  const types = differenceOf(undefined, BASE).map(({ type }) => type)
+test('in the first file everything is new', () => {
+  const types = diffConfigurations(undefined, BASE).map(({ type }) => type)
   expect(types).toEqual(['serviceAdded', 'providerAdded', 'providerAdded', 'tenantAdded', 'drainStarted'])
 })
--- a/packages/settings/test/schema.test.ts
+++ b/packages/settings/test/schema.test.ts
@@ -1,4 +1,4 @@
-/** The published JSON Schemas are those of the programs, and every value that a person writes has an example. */
+/** Tests that the published JSON Schemas are up to date and that every value in them has an example. */
 import { readFileSync } from 'node:fs'
 import { test } from 'node:test'
 import { expect } from 'earl'
@@ -16,7 +16,7 @@
   oneOf?: SchemaNode[]
 }
 
-/** Paths of the values that are neither objects nor have an example. */
+/** Returns the paths of all values that are not objects and have no example. */
 function withoutExample (node: SchemaNode, path: string): string[] {
   if (node.type !== 'object' && node.oneOf === undefined && node.examples === undefined) return [path]
   const children = [
--- a/packages/store/src/classification.ts
+++ b/packages/store/src/classification.ts
@@ -34,8 +34,7 @@
 /**
  * Returns the error for a status other than 200. After a 5xx status, the outcome of a write is unknown:
  * the service also responds with 503 when its commit timed out or its leader changed, and the write may
- * be applied afterwards. The write is known not to be applied only for status 429 and for messages that
- * the service sends before it applies a write.
+ * be applied afterwards. The exception is a message that the service sends only before it applies a write.
  */
 export function classifyStatus (status: number, body: string, isWrite: boolean): StoreError {
   const message = extractErrorMessage(body)
