--- a/packages/daemon/src/seeds.ts
+++ b/packages/daemon/src/seeds.ts
@@ -4,7 +4,7 @@
  * have a newer one, and the agent accepts no work before every member of its view has answered.
  */
 import type { Instance, View } from '@amaranthmast/coordination/messages'
-import { agentFrame, entryFrame, entryMessages } from '@amaranthmast/protocol/codec'
+import { encodeAgentFrame, encodeEntryFrame, decodeEntryFrame } from '@amaranthmast/protocol/codec'
 import type { AgentFrame, EntryFrame } from '@amaranthmast/protocol/inner_pb'
 import type { HandlerContext } from '@connectrpc/connect'
 import type { Environment } from './environment.ts'
@@ -23,7 +23,7 @@
 
 /** Answers a view request with one `hello` message and ends the stream. */
 export async function * sendView (instance: Instance, view: View, configurationVersion: number): AsyncGenerator<EntryFrame> {
-  yield entryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
+  yield encodeEntryFrame([{ case: 'hello', value: { instance, view, configurationVersion } }])
 }
 
 /** The entries from which an agent may request the view. */
@@ -74,11 +74,11 @@
 
 /** The transport sends its headers only together with a first frame. */
 async function * emptyFrame (): AsyncGenerator<AgentFrame> {
-  yield agentFrame([])
+  yield encodeAgentFrame([])
 }
 
 /** Returns the view in a frame; undefined when the entry has not joined yet and its view is empty. */
 function viewOf (frame: EntryFrame): View | undefined {
-  const views = entryMessages(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
+  const views = decodeEntryFrame(frame).flatMap(message => message.case === 'hello' ? [message.value.view] : [])
   return views.find(({ members }) => members.length > 0)
 }
