--- a/packages/dispatch/explore/cancels.ts
+++ b/packages/dispatch/explore/cancels.ts
@@ -1,63 +1,63 @@
-/** Cancellations in the explorer: who asks for them, when they were acknowledged, and the promise that goes with them. */
+/** Cancellations of the explorer: sends them, records their acknowledgements, and checks that no task of a cancelled job keeps running. */
 import type { EntryProcess } from '@amaranthmast/emulator/linkends'
 import type { Timeline } from '@amaranthmast/emulator/timeline'
 import type { SeededRandom } from '@amaranthmast/standins/random'
 
-/** From the acknowledgement of a cancellation on, nothing of the job starts after this, and nothing runs after a stop more (the platform's bounds), in milliseconds. */
-const IN_FORCE = 4000
+/** Time after an acknowledged cancellation from which no task of the job may start, in milliseconds; none may run after one stop more. Both are platform bounds. */
+const CANCELLATION_BOUND = 4000
 
-/** A wave strikes so large a part of the jobs whose callers wait. */
-const WAVE_SHARE = 0.5
+/** Fraction of the waiting jobs that a wave cancels. */
+const WAVE_FRACTION = 0.5
 
-/** Numbers of requests to cancel lie above those of submissions. */
-const FIRST_REQUEST = 1_000_000
+/** Numbers of cancel requests start above those of submissions. */
+const FIRST_REQUEST_NUMBER = 1_000_000
 
-export interface CancelParts {
+export interface CancellationDependencies {
   timeline: Timeline
   random: SeededRandom
   entries: readonly EntryProcess[]
-  /** Ids of the jobs whose callers wait. */
+  /** Ids of the jobs whose callers are waiting. */
   waiting: () => Iterable<string>
-  /** A stop of a task takes at most this long, in milliseconds. */
+  /** Longest duration of the stop of a task, in milliseconds. */
   stop: number
 }
 
-export class Cancels {
-  readonly #parts: CancelParts
-  readonly #asked = new Map<number, string>()
-  /** When the first cancellation of each job was acknowledged. */
-  readonly #acknowledged = new Map<string, number>()
-  #requests = FIRST_REQUEST
+export class Cancellations {
+  readonly #dependencies: CancellationDependencies
+  readonly #jobOfRequest = new Map<number, string>()
+  /** Time of the first acknowledged cancellation of each job. */
+  readonly #acknowledgedAt = new Map<string, number>()
+  #requests = FIRST_REQUEST_NUMBER
 
-  constructor (parts: CancelParts) {
-    this.#parts = parts
+  constructor (dependencies: CancellationDependencies) {
+    this.#dependencies = dependencies
   }
 
-  /** Cancels a part of the jobs at one time, each at any of the entries. */
+  /** Cancels a random fraction of the waiting jobs at once, each at a random entry. */
   wave (): void {
-    const { random, waiting } = this.#parts
-    for (const job of new Set(waiting())) if (random.next() < WAVE_SHARE) this.cancel(job)
+    const { random, waiting } = this.#dependencies
+    for (const job of new Set(waiting())) if (random.next() < WAVE_FRACTION) this.cancel(job)
   }
 
   cancel (job: string): void {
-    const { entries, random } = this.#parts
+    const { entries, random } = this.#dependencies
     const alive = entries.filter(entry => entry.alive && !entry.frozen)
     if (alive.length === 0) return
     this.#requests += 1
-    this.#asked.set(this.#requests, job)
+    this.#jobOfRequest.set(this.#requests, job)
     random.pick(alive).post({ type: 'cancelAsked', request: this.#requests, id: job })
   }
 
   answered (request: number): void {
-    const job = this.#asked.get(request)
-    if (job !== undefined && !this.#acknowledged.has(job)) this.#acknowledged.set(job, this.#parts.timeline.now)
+    const job = this.#jobOfRequest.get(request)
+    if (job !== undefined && !this.#acknowledgedAt.has(job)) this.#acknowledgedAt.set(job, this.#dependencies.timeline.now)
   }
 
-  /** What is wrong with a run of the task now, if anything. */
-  faultOfRun (task: string): string | undefined {
+  /** Describes the violation if the task may not run now because its job was cancelled. */
+  violationOfRun (task: string): string | undefined {
     const job = task.slice(0, task.indexOf('.'))
-    const at = this.#acknowledged.get(job)
-    const since = at === undefined ? 0 : this.#parts.timeline.now - at
-    return since <= IN_FORCE + this.#parts.stop ? undefined : `${task} runs ${Math.round(since)} ms after its job was cancelled`
+    const acknowledgedAt = this.#acknowledgedAt.get(job)
+    const elapsed = acknowledgedAt === undefined ? 0 : this.#dependencies.timeline.now - acknowledgedAt
+    return elapsed <= CANCELLATION_BOUND + this.#dependencies.stop ? undefined : `${task} runs ${Math.round(elapsed)} ms after its job was cancelled`
   }
 }
--- a/packages/dispatch/explore/world.ts
+++ b/packages/dispatch/explore/world.ts
@@ -1,4 +1,7 @@
-/** A small fleet under virtual time, its callers, and the promises: no task runs twice at one time, none starts in an evacuated data centre, none of a cancelled job runs on. */
+/**
+ * Simulates a small fleet and its callers in virtual time and checks the invariants: no task has two concurrent runs, no task
+ * starts in an evacuated data centre, beyond a target's capacity or after its drain time, and no task of a cancelled job keeps running.
+ */
 import type { AgentEffect, AgentEvent } from '../src/agenttypes.ts'
 import type { AgentGuards } from '../src/agentcontext.ts'
 import type { AnswerKind, EntryEffect, EntryEvent } from '../src/entrytypes.ts'
@@ -6,8 +9,8 @@
 import type { TargetTraits } from '@amaranthmast/emulator/emulatedtarget'
 import type { AgentProcess, EntryProcess } from '@amaranthmast/emulator/linkends'
 import { SeededRandom } from '@amaranthmast/standins/random'
-import { Callers, endsFirst } from './callers.ts'
-import { Cancels } from './cancels.ts'
+import { Callers, handleEndsFirst } from './callers.ts'
+import { Cancellations } from './cancels.ts'
 import { Operators } from './operators.ts'
 import { Agent } from '../src/agent.ts'
 import { ALL_AGENT_GUARDS } from '../src/agentcontext.ts'
@@ -29,7 +32,7 @@
 
 export const ALL_GUARDS: Guards = { agent: ALL_AGENT_GUARDS, fleet: ALL_FLEET_GUARDS }
 
-/** Every guard on but one. */
+/** All guards enabled except the named one. */
 export function guardsWithout (name: string): Guards {
   return {
     agent: name in ALL_AGENT_GUARDS ? { ...ALL_AGENT_GUARDS, [name]: false } : ALL_AGENT_GUARDS,
@@ -37,70 +40,70 @@
   }
 }
 
-/** Bounds of the platform that the fleet is built for, in milliseconds. */
-const BOUNDS = { resubmission: 1300, longestLease: 1000, stop: 50, drain: 1000 }
+/** Platform bounds that the fleet is configured for, in milliseconds. */
+const PLATFORM_BOUNDS = { resubmission: 1300, longestLease: 1000, stop: 50, drain: 1000 }
 const CALLER_DEADLINE = 3000
 const LONG_CALLER_DEADLINE = 10_000
-const SHORT_TASK = 1500
-const LONG_TASK = 9000
+const SHORT_TASK_DURATION = 1500
+const LONG_TASK_DURATION = 9000
 
-/** A task that is left with its entry late must outlast the time after which its caller comes back, in milliseconds. */
-const LATE_TASK = 3000
-const DIAL_AGAIN = 60
+/** Longest task with delayed processes, in milliseconds. A task whose delayed entry lost its caller must outlast the resubmission time. */
+const LATE_PROCESS_TASK_DURATION = 3000
+const DIAL_INTERVAL = 60
 
-/** An entry that has started is linked to the others, and has heard what they know. */
-const LEARNING = 200
+/** Time within which a started entry is linked to the other entries and has received their state, in milliseconds. */
+const PEER_SYNC_TIME = 200
 const TASK_CPU = 3000
-const SCARCE_CPU = 6000
+const PARTITIONED_CAPACITY = 6000
 const CHECK_INTERVAL = 5
-const HEARTBEAT = 1500
+const HEARTBEAT_INTERVAL = 1500
 
-/** By the platform's bounds room that has shrunk counts for so long, in milliseconds: a machine may be out of touch, and one heartbeat more. */
-const NEWS = 4000 + HEARTBEAT
+/** Time for which the earlier capacity of a shrunk target may still be used, in milliseconds: the platform's bound for an instance without contact, plus one heartbeat. */
+const CAPACITY_UPDATE_BOUND = 4000 + HEARTBEAT_INTERVAL
 
-/** Capacity of a target, in thousandths of a core, and of one that changes: then it is full now and again. */
+/** Capacity of a target and of one whose capacity changes, in thousandths of a core. The latter is small enough to be exhausted at times. */
 const CAPACITY = 32_000
 const CHANGING_CAPACITY = 12_000
-const FASTEST_MESSAGE = 0.1
-const MESSAGE_SPREAD = 2.9
+const MIN_MESSAGE_DELAY = 0.1
+const MESSAGE_DELAY_SPREAD = 2.9
 
-/** On every other seed links are as quiet as in a fleet of 35 entries: most starts wait for an echo. */
-const OFTEN_QUIET = 700
+/** Even seeds use the idle ping interval of a fleet of 35 entries, in milliseconds, so that most starts wait for an echo. */
+const LONG_QUIET_PING = 700
 
-/** A late process takes its turns so far apart, in milliseconds. */
-const LEAST_PAUSE = 100
-const PAUSE_SPREAD = 600
+/** Shortest pause between two event loop turns of a delayed process, and the upper limit of what is added to it, in milliseconds. */
+const MIN_TURN_PAUSE = 100
+const MAX_TURN_PAUSE_SPREAD = 600
 
-/** A worker's steady clock is up to this much slow. */
-const CLOCK_SLOWNESS = 0.02
+/** Highest fraction by which a target's monotonic clock runs slow. */
+const MAX_CLOCK_SLOWNESS = 0.02
 
 const QUEUE = { name: 'queue', host: 'host', prefix: '/', service: 'service', priority: 0, attempts: 3, slackFactor: 3, latency: 500, timeout: 0 }
 
 const DATA_CENTRES = ['one', 'two']
 
-export interface WorldSizes {
+export interface WorldOptions {
   entries: number
   agents: number
   dataCentres: number
-  /** Tasks that outlast the bounds of a cancellation, and callers that wait for them. */
+  /** Tasks may outlast the cancellation bound, and callers wait for them. */
   longTasks: boolean
-  /** Tasks under which a worker crashed are started apart. */
+  /** Tasks that were running when a target crashed are restarted on separate targets. */
   isolatesSuspects: boolean
-  /** Whether targets shrink, grow and leave, are used until they are gone, and start whatever they are told. */
-  changing: boolean
-  /** Entries give out the room in partitions, and targets have little of it, so that they ask each other. */
+  /** Targets change their capacity and leave, receive tasks until they are gone, and accept every start, even beyond their capacity. */
+  changingTargets: boolean
+  /** Entries grant capacity in partitions. Targets have little capacity, so that entries request it from each other. */
   partitions: boolean
-  /** Workers may start again under their names. */
+  /** Restarted targets may keep their names. */
   keepNames: boolean
-  /** Processes take in what has reached them turn by turn, callers are heard late, and calls end with the process that made them. */
+  /** Processes handle events in delayed batches, disconnects of callers reach entries after a delay, and calls end with the process that made them. */
   late: boolean
 }
 
 export interface Violation {
   at: number
   detail: string
-  /** For how long the two runs went on beside each other, in milliseconds; 0 for violations of other kinds. */
-  lasts: number
+  /** Time for which the two runs overlapped, in milliseconds; 0 for other violations. */
+  overlapDuration: number
 }
 
 export class World {
@@ -108,16 +111,16 @@
   readonly random: SeededRandom
   readonly entries: EntryProcess[] = []
   readonly agents: AgentProcess[] = []
-  readonly workers: EmulatedTarget[] = []
+  readonly targets: EmulatedTarget[] = []
   readonly callers: Callers
   readonly operators: Operators
-  readonly cancels: Cancels
-  readonly #longestTask: number
+  readonly cancels: Cancellations
+  readonly #maxTaskDuration: number
   readonly #isolatesSuspects: boolean
   readonly #dataCentres: number
-  readonly #changing: boolean
-  /** When the notice of each target was acknowledged. */
-  readonly #noticed = new Map<number, number>()
+  readonly #changingTargets: boolean
+  /** Time at which the agent received the leave notice of each target. */
+  readonly #noticeAcknowledgedAt = new Map<number, number>()
   readonly #partitions: boolean
   readonly #late: boolean
   readonly #keepNames: boolean
@@ -125,36 +128,36 @@
   readonly #quietPing: number
   readonly #peers: PeerLinks
   readonly #trace: ((line: string) => void) | undefined
-  /** From then on all entries run, and know what the others do. */
-  #entriesWholeAt = 0
+  /** Time from which all entries run and have each other's state. */
+  #entriesSyncedAt = 0
   violation: Violation | undefined
 
-  constructor (seed: number, guards: Guards, sizes: WorldSizes, trace?: (line: string) => void) {
+  constructor (seed: number, guards: Guards, options: WorldOptions, trace?: (line: string) => void) {
     this.#trace = trace
-    this.#dataCentres = sizes.dataCentres
-    this.#longestTask = longestTaskOf(sizes)
-    this.#isolatesSuspects = sizes.isolatesSuspects
-    this.#changing = sizes.changing
-    this.#partitions = sizes.partitions
-    this.#late = sizes.late
-    this.#keepNames = sizes.keepNames
+    this.#dataCentres = options.dataCentres
+    this.#maxTaskDuration = maxTaskDurationOf(options)
+    this.#isolatesSuspects = options.isolatesSuspects
+    this.#changingTargets = options.changingTargets
+    this.#partitions = options.partitions
+    this.#late = options.late
+    this.#keepNames = options.keepNames
     this.random = new SeededRandom(seed)
-    this.#quietPing = seed % 2 === 0 ? OFTEN_QUIET : DEFAULT_POLICY.quietPing
-    const travel = (): number => FASTEST_MESSAGE + this.random.next() * MESSAGE_SPREAD
-    this.#connections = new Connections(this.timeline, travel)
-    this.#peers = new PeerLinks(this.timeline, this.entries, travel)
-    this.callers = new Callers({ timeline: this.timeline, random: this.random, entries: this.entries, queue: QUEUE, cpu: TASK_CPU, deadline: sizes.longTasks ? LONG_CALLER_DEADLINE : CALLER_DEADLINE, resubmission: BOUNDS.resubmission, travel: sizes.late ? travel : undefined })
-    // The operators draw from a sequence of their own, so that a seed means the same processes with and without them.
+    this.#quietPing = seed % 2 === 0 ? LONG_QUIET_PING : DEFAULT_POLICY.quietPing
+    const messageDelay = (): number => MIN_MESSAGE_DELAY + this.random.next() * MESSAGE_DELAY_SPREAD
+    this.#connections = new Connections(this.timeline, messageDelay)
+    this.#peers = new PeerLinks(this.timeline, this.entries, messageDelay)
+    this.callers = new Callers({ timeline: this.timeline, random: this.random, entries: this.entries, queue: QUEUE, cpu: TASK_CPU, deadline: options.longTasks ? LONG_CALLER_DEADLINE : CALLER_DEADLINE, resubmission: PLATFORM_BOUNDS.resubmission, messageDelay: options.late ? messageDelay : undefined })
+    // Operators and cancellations have their own random sequences, so that a seed yields the same process faults with and without them.
     this.operators = new Operators({ timeline: this.timeline, random: new SeededRandom(seed), entries: this.entries, agents: this.agents, dataCentreOf: agent => this.dataCentreOf(agent) })
-    this.cancels = new Cancels({ timeline: this.timeline, random: new SeededRandom(seed), entries: this.entries, waiting: () => this.callers.waiting(), stop: BOUNDS.stop })
-    const timings = timingsFor(BOUNDS)
-    for (let index = 0; index < sizes.agents; index += 1) this.#addAgent(index, timings, guards)
-    for (let index = 0; index < sizes.entries; index += 1) this.#addEntry(index, timings, guards)
+    this.cancels = new Cancellations({ timeline: this.timeline, random: new SeededRandom(seed), entries: this.entries, waiting: () => this.callers.waiting(), stop: PLATFORM_BOUNDS.stop })
+    const timings = timingsFor(PLATFORM_BOUNDS)
+    for (let index = 0; index < options.agents; index += 1) this.#addAgent(index, timings, guards)
+    for (let index = 0; index < options.entries; index += 1) this.#addEntry(index, timings, guards)
     for (const process of [...this.agents, ...this.entries]) process.start()
     for (const entry of this.entries) this.#configure(entry)
     this.#dialAll()
     this.#check()
-    if (sizes.dataCentres > 1) this.operators.start()
+    if (options.dataCentres > 1) this.operators.start()
   }
 
   /** Data centre of an agent and its target. */
@@ -166,12 +169,15 @@
     this.#connections.cut(pairOf(entry, agent), milliseconds)
   }
 
-  /** Cuts an entry off from the other entries. */
+  /** Disconnects an entry from the other entries. */
   cutPeers (entry: number, milliseconds: number): void {
     this.#peers.cut(entry, milliseconds)
   }
 
-  /** An entry takes the others for unable and gives out all targets, beside those that hold them, until it hears better. */
+  /**
+   * Reports to an entry that no other entry can grant capacity. It then grants that of all targets, concurrently with their
+   * owners, until it receives the next member messages.
+   */
   claimAll (index: number): void {
     for (const [other, { name }] of this.entries.entries()) {
       if (other !== index) this.entries[index]?.post({ type: 'peerMessage', peer: name, message: { type: 'member', dataCentre: 'one', able: false, strength: 0 } })
@@ -184,55 +190,55 @@
     entry.kill()
     this.#peers.ended(index, false)
     this.agents.forEach((_agent, agent) => this.#connections.closeByEntry(pairOf(index, agent)))
-    this.callers.breakOff(index)
+    this.callers.breakConnections(index)
     this.timeline.after(milliseconds, () => {
       entry.start()
       this.#configure(entry)
     })
   }
 
-  /** Restarts an entry unless another one is down, or has not heard of what the others know. */
+  /** Restarts an entry unless another one is down or has not yet received the others' state. */
   removeEntry (index: number, milliseconds: number): void {
     const { now } = this.timeline
-    if (now < this.#entriesWholeAt) return
-    this.#entriesWholeAt = now + milliseconds + LEARNING
+    if (now < this.#entriesSyncedAt) return
+    this.#entriesSyncedAt = now + milliseconds + PEER_SYNC_TIME
     this.restartEntry(index, milliseconds)
   }
 
-  /** @param heartbeat longest time until the worker announces itself to the new run, in milliseconds */
+  /** @param heartbeat longest time until the target announces itself to the restarted agent, in milliseconds */
   restartAgent (index: number, milliseconds: number, heartbeat = 1500): void {
     const agent = this.agents[index] as AgentProcess
     if (!agent.alive) return
     agent.kill()
-    this.operators.noteDisturbed(index, this.timeline.now + milliseconds)
+    this.operators.recordDisturbance(index, this.timeline.now + milliseconds)
     this.entries.forEach((_entry, entry) => this.#connections.closeByAgent(pairOf(entry, index)))
     this.timeline.after(milliseconds, () => {
       agent.start()
-      if (this.#dataCentres > 1 || this.#changing) this.operators.recallTarget(index)
-      this.timeline.after(this.random.next() * heartbeat, () => this.workers[index]?.announce())
+      if (this.#dataCentres > 1 || this.#changingTargets) this.operators.recallTarget(index)
+      this.timeline.after(this.random.next() * heartbeat, () => this.targets[index]?.announce())
     })
   }
 
-  /** A process takes its turns late for a while. */
+  /** Delays the event loop turns of a process for a time. */
   delay (process: EntryProcess | AgentProcess, milliseconds: number): void {
-    const spread = this.random.next() * PAUSE_SPREAD
-    process.delay(milliseconds, () => LEAST_PAUSE + this.random.next() * spread)
+    const spread = this.random.next() * MAX_TURN_PAUSE_SPREAD
+    process.delay(milliseconds, () => MIN_TURN_PAUSE + this.random.next() * spread)
   }
 
   freezeAgent (index: number, milliseconds: number): void {
     this.agents[index]?.freeze(milliseconds)
-    this.operators.noteDisturbed(index, this.timeline.now + milliseconds)
+    this.operators.recordDisturbance(index, this.timeline.now + milliseconds)
   }
 
   /**
-   * A worker crashes and is back under another name, and its agent starts again. A heartbeat of the life before, which the
-   * new run of the agent has never seen, arrives later.
+   * Crashes a target, which returns under another name, and restarts its agent. The new incarnation of the agent later receives
+   * a heartbeat of the target's earlier incarnation, which it has never seen.
    */
   lateHeartbeat (index: number, milliseconds: number): void {
-    const worker = this.workers[index] as EmulatedTarget
-    if (!worker.up) return
-    const heartbeat = worker.announcement()
-    worker.crash(20)
+    const target = this.targets[index] as EmulatedTarget
+    if (!target.up) return
+    const heartbeat = target.announcement()
+    target.crash(20)
     this.restartAgent(index, 30, 60)
     this.timeline.after(milliseconds, () => this.agents[index]?.post(heartbeat))
   }
@@ -241,18 +247,18 @@
     this.#connections.closeByEntry(pairOf(entry, agent))
   }
 
-  /** Every link between entries and agents breaks at the agents' ends, with what was under way to them. */
-  loseLinks (): void {
+  /** Breaks every link between entries and agents at the agents' ends. Messages in flight to the agents are lost. */
+  breakAllLinks (): void {
     this.agents.forEach((_agent, agent) => this.entries.forEach((_entry, entry) => this.#connections.closeByAgent(pairOf(entry, agent))))
   }
 
   #addAgent (index: number, timings: ReturnType<typeof timingsFor>, guards: Guards): void {
-    // Clocks of different runs of one machine may be set back between them.
-    const make = (): Agent => new Agent({ timings, stop: BOUNDS.stop, drain: BOUNDS.drain, wallClock: () => 1_000_000 + this.timeline.now + this.random.integer(-400, 400), guards: guards.agent, policy: { quietPing: this.#quietPing, isolatesSuspects: this.#isolatesSuspects, usesLeaving: this.#changing, partitions: this.#partitions } })
-    const agent: AgentProcess = new Process<AgentEvent, AgentEffect>(`agent${index}`, this.timeline, make, { type: 'tick' }, effect => this.#carryOutAgent(index, effect))
+    // The wall clock of an instance may be set back between two incarnations of its agent.
+    const createAgent = (): Agent => new Agent({ timings, stop: PLATFORM_BOUNDS.stop, drain: PLATFORM_BOUNDS.drain, wallClock: () => 1_000_000 + this.timeline.now + this.random.integer(-400, 400), guards: guards.agent, policy: { quietPing: this.#quietPing, isolatesSuspects: this.#isolatesSuspects, usesLeaving: this.#changingTargets, partitions: this.#partitions } })
+    const agent: AgentProcess = new Process<AgentEvent, AgentEffect>(`agent${index}`, this.timeline, createAgent, { type: 'tick' }, effect => this.#carryOutAgent(index, effect))
     this.agents.push(agent)
-    this.workers.push(new EmulatedTarget(this.timeline, this.random, this.#traits(this.dataCentreOf(index), agent), event => {
-      if (event.type === 'targetSeen') this.#noteNotice(index, event.facts.leaving)
+    this.targets.push(new EmulatedTarget(this.timeline, this.random, this.#traits(this.dataCentreOf(index), agent), event => {
+      if (event.type === 'targetSeen') this.#recordNotice(index, event.facts.leaving)
       agent.post(event)
     }))
   }
@@ -263,27 +269,27 @@
       dataCentre,
       labels: [],
       capacity: { cpu: this.#capacity, memory: 65_536, accelerators: 0 },
-      clockRate: 1 - CLOCK_SLOWNESS * this.random.next(),
-      longestLease: BOUNDS.longestLease,
-      heartbeat: HEARTBEAT,
-      news: NEWS,
-      rejectsOverload: !this.#changing,
+      clockRate: 1 - MAX_CLOCK_SLOWNESS * this.random.next(),
+      longestLease: PLATFORM_BOUNDS.longestLease,
+      heartbeat: HEARTBEAT_INTERVAL,
+      news: CAPACITY_UPDATE_BOUND,
+      rejectsOverload: !this.#changingTargets,
       refusesOtherLives: !this.#keepNames,
       pollsWait: this.#dataCentres > 1 || this.#late,
       ...(this.#late ? { caller: agent } : {}),
-      plan: () => ({ duration: 50 + this.random.next() * this.#longestTask, fails: this.random.next() < 0.02 }),
+      plan: () => ({ duration: 50 + this.random.next() * this.#maxTaskDuration, fails: this.random.next() < 0.02 }),
       cpuOf: () => TASK_CPU
     }
   }
 
   get #capacity (): number {
-    if (this.#partitions) return SCARCE_CPU
-    return this.#changing ? CHANGING_CAPACITY : CAPACITY
+    if (this.#partitions) return PARTITIONED_CAPACITY
+    return this.#changingTargets ? CHANGING_CAPACITY : CAPACITY
   }
 
   #addEntry (index: number, timings: ReturnType<typeof timingsFor>, guards: Guards): void {
-    const make = (): Entry => new Entry({ name: `entry${index}`, dataCentre: 'one', timings, grace: 6000, guards: guards.fleet, policy: { isolatesSuspects: this.#isolatesSuspects, usesLeaving: this.#changing, partitions: this.#partitions } })
-    this.entries.push(new Process<EntryEvent, EntryEffect>(`entry${index}`, this.timeline, make, { type: 'tick' }, effect => this.#carryOutEntry(index, effect), this.#late ? { arrange: endsFirst } : {}))
+    const createEntry = (): Entry => new Entry({ name: `entry${index}`, dataCentre: 'one', timings, grace: 6000, guards: guards.fleet, policy: { isolatesSuspects: this.#isolatesSuspects, usesLeaving: this.#changingTargets, partitions: this.#partitions } })
+    this.entries.push(new Process<EntryEvent, EntryEffect>(`entry${index}`, this.timeline, createEntry, { type: 'tick' }, effect => this.#carryOutEntry(index, effect), this.#late ? { arrange: handleEndsFirst } : {}))
   }
 
   #configure (entry: EntryProcess): void {
@@ -291,31 +297,31 @@
   }
 
   #carryOutAgent (index: number, effect: AgentEffect): void {
-    const worker = this.workers[index] as EmulatedTarget
+    const target = this.targets[index] as EmulatedTarget
     if (effect.type === 'start') {
-      const fault = this.operators.faultOfStart(index) ?? this.#faultOfLateStart(index)
-      if (fault !== undefined) this.violation ??= { at: this.timeline.now, detail: fault, lasts: 0 }
-      worker.start(effect)
+      const violation = this.operators.violationOfStart(index) ?? this.#violationOfLateStart(index)
+      if (violation !== undefined) this.violation ??= { at: this.timeline.now, detail: violation, overlapDuration: 0 }
+      target.start(effect)
     }
     if (effect.type === 'readEvacuations') this.operators.readForAgent(index)
     if (effect.type === 'rememberTarget') this.operators.rememberTarget(index, effect.facts)
-    if (effect.type === 'stop') worker.stop(effect)
-    if (effect.type === 'poll') worker.poll(effect)
+    if (effect.type === 'stop') target.stop(effect)
+    if (effect.type === 'poll') target.poll(effect)
     if (effect.type === 'send') this.#connections.toEntry(pairOf(numberOf(effect.entry), index), effect.message)
     if (effect.type === 'unlink') this.#connections.closeByAgent(pairOf(numberOf(effect.entry), index))
     if (effect.type === 'note') this.#trace?.(`${this.timeline.now.toFixed(1)} agent${index} ${effect.what} ${JSON.stringify(effect.fields)}`)
   }
 
-  #noteNotice (index: number, leaving: boolean): void {
+  #recordNotice (index: number, leaving: boolean): void {
     const agent = this.agents[index] as AgentProcess
-    if (!leaving) this.#noticed.delete(index)
-    else if (agent.alive && !agent.frozen && !this.#noticed.has(index)) this.#noticed.set(index, this.timeline.now)
+    if (!leaving) this.#noticeAcknowledgedAt.delete(index)
+    else if (agent.alive && !agent.frozen && !this.#noticeAcknowledgedAt.has(index)) this.#noticeAcknowledgedAt.set(index, this.timeline.now)
   }
 
-  /** Later than the time to drain after the acknowledgement nothing is started. */
-  #faultOfLateStart (index: number): string | undefined {
-    const late = this.timeline.now - (this.#noticed.get(index) ?? Infinity)
-    return late > BOUNDS.drain ? `a start at worker ${index} ${late.toFixed(0)} ms after its notice was acknowledged` : undefined
+  /** Reports a start at a target later than the drain time after its leave notice was received. */
+  #violationOfLateStart (index: number): string | undefined {
+    const elapsed = this.timeline.now - (this.#noticeAcknowledgedAt.get(index) ?? Infinity)
+    return elapsed > PLATFORM_BOUNDS.drain ? `a start at target ${index} ${elapsed.toFixed(0)} ms after its notice was acknowledged` : undefined
   }
 
   #carryOutEntry (index: number, effect: EntryEffect): void {
@@ -334,15 +340,15 @@
   #dialAll (): void {
     this.#peers.dial()
     this.entries.forEach((entry, index) => this.agents.forEach((_agent, other) => {
-      if (!this.#dials(index, other)) return
-      // A late entry dials with its next turn, once it has heard that the link before is gone.
-      if (this.#late) entry.after(0, () => { if (this.#dials(index, other)) this.#dial(index, other) })
+      if (!this.#canDial(index, other)) return
+      // A delayed entry dials in its next turn, after it has handled the end of the previous link.
+      if (this.#late) entry.after(0, () => { if (this.#canDial(index, other)) this.#dial(index, other) })
       else this.#dial(index, other)
     }))
-    this.timeline.after(DIAL_AGAIN, () => this.#dialAll())
+    this.timeline.after(DIAL_INTERVAL, () => this.#dialAll())
   }
 
-  #dials (index: number, other: number): boolean {
+  #canDial (index: number, other: number): boolean {
     const pair = pairOf(index, other)
     return [this.entries[index], this.agents[other]].every(process => process?.alive === true && !process.frozen) && !this.#connections.isCut(pair) && !this.#connections.get(pair)
   }
@@ -354,48 +360,48 @@
     this.#connections.open(pairOf(index, other), entryEnd, agentEnd)
   }
 
-  // The promise
+  // Invariants
 
   #check (): void {
-    for (const fault of this.#faults()) this.violation ??= { at: this.timeline.now, detail: fault, lasts: 0 }
+    for (const violation of this.#findViolations()) this.violation ??= { at: this.timeline.now, detail: violation, overlapDuration: 0 }
     if (this.violation === undefined) this.timeline.after(CHECK_INTERVAL, () => this.#check())
   }
 
-  #faults (): string[] {
-    const faults: string[] = []
-    const where = new Map<string, number>()
-    this.workers.forEach((worker, index) => {
-      if (worker.check.startsOver > 0) faults.push(`a start took worker ${index} over its capacity`)
-      for (const { task, run } of worker.running()) {
-        const other = where.get(task)
+  #findViolations (): string[] {
+    const violations: string[] = []
+    const targetOfTask = new Map<string, number>()
+    this.targets.forEach((target, index) => {
+      if (target.check.startsOver > 0) violations.push(`a start took target ${index} over its capacity`)
+      for (const { task, run } of target.running()) {
+        const other = targetOfTask.get(task)
         if (other !== undefined) {
-          faults.push(`${task} runs at worker ${other} and, as run ${run}, at worker ${index}`)
-          this.#measure(task)
+          violations.push(`${task} runs at target ${other} and, as run ${run}, at target ${index}`)
+          this.#measureOverlap(task)
         }
-        where.set(task, index)
-        const fault = this.cancels.faultOfRun(task)
-        if (fault !== undefined) faults.push(`${fault} at worker ${index}`)
+        targetOfTask.set(task, index)
+        const violation = this.cancels.violationOfRun(task)
+        if (violation !== undefined) violations.push(`${violation} at target ${index}`)
       }
     })
-    return faults
+    return violations
   }
 
-  /** For how long the task goes on at two workers that it runs at twice now. */
-  #measure (task: string): void {
+  /** Measures for how long a task that now runs at two targets keeps running at both. */
+  #measureOverlap (task: string): void {
     if (this.violation !== undefined) return
-    const since = this.timeline.now
-    const look = (): void => {
-      const runs = this.workers.filter(worker => worker.running().some(run => run.task === task)).length
+    const startedAt = this.timeline.now
+    const checkOverlap = (): void => {
+      const runs = this.targets.filter(target => target.running().some(run => run.task === task)).length
       if (runs < 2) return
-      if (this.violation !== undefined) this.violation.lasts = this.timeline.now - since
-      this.timeline.after(CHECK_INTERVAL, look)
+      if (this.violation !== undefined) this.violation.overlapDuration = this.timeline.now - startedAt
+      this.timeline.after(CHECK_INTERVAL, checkOverlap)
     }
-    this.timeline.after(CHECK_INTERVAL, look)
+    this.timeline.after(CHECK_INTERVAL, checkOverlap)
   }
 }
 
-/** In milliseconds. */
-function longestTaskOf ({ longTasks, late }: WorldSizes): number {
-  if (late) return LATE_TASK
-  return longTasks ? LONG_TASK : SHORT_TASK
+/** Longest task of the simulation, in milliseconds. */
+function maxTaskDurationOf ({ longTasks, late }: WorldOptions): number {
+  if (late) return LATE_PROCESS_TASK_DURATION
+  return longTasks ? LONG_TASK_DURATION : SHORT_TASK_DURATION
 }
--- a/packages/dispatch/test/explore.test.ts
+++ b/packages/dispatch/test/explore.test.ts
@@ -1,14 +1,14 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { runSeed, search, Theme } from '../explore/faults.ts'
+import { runSeed, findFirst, Theme } from '../explore/faults.ts'
 
-/** Seeds that once showed two runs of one task, with their causes. */
+/** Seeds that found concurrent runs of one task, with their causes. */
 const FAILED_SEEDS = [
-  // The stop of a start that was not answered yet came first; refused as old, the start was tried again.
+  // The stop of an unanswered start overtook it. The target refused the start as an old run, and it was sent again.
   247
 ]
 
-/** For each guard, the first seed to try and how many: its removal must show within them. */
+/** Seeds to try for each guard: without the guard, at least one of them must violate an invariant. */
 const GUARDS: Record<string, { first: number, runs: number, theme?: Theme, only?: string }> = {
   contact: { first: 1, runs: 60 },
   takeBack: { first: 1, runs: 60 },
@@ -32,38 +32,38 @@
   boundedLease: { first: 1, runs: 60, theme: Theme.Lateness }
 }
 
-test('no task runs twice at one time under random faults', () => {
-  expect(search(5000, 40, Theme.Processes)).toEqual(undefined)
+test('no task has two concurrent runs under random faults', () => {
+  expect(findFirst(5000, 40, Theme.Processes)).toEqual(undefined)
 })
 
-test('evacuations and workers that start again under their names break no promise', () => {
-  expect(search(5000, 60, Theme.Operators)).toEqual(undefined)
+test('evacuations and targets that restart under their names violate no invariant', () => {
+  expect(findFirst(5000, 60, Theme.Operators)).toEqual(undefined)
 })
 
-test('no run of a cancelled job goes on after the bound, with late orders and removed starters', () => {
-  expect(search(5000, 40, Theme.Cancels)).toEqual(undefined)
+test('no task of a cancelled job runs beyond the bound, with late orders and removed entries and agents', () => {
+  expect(findFirst(5000, 40, Theme.Cancels)).toEqual(undefined)
 })
 
-test('targets that shrink, grow and leave get no start over their capacity or too late', () => {
-  expect(search(5000, 60, Theme.Capacity)).toEqual(undefined)
+test('targets that shrink, grow and leave receive no start beyond their capacity or their drain time', () => {
+  expect(findFirst(5000, 60, Theme.Capacity)).toEqual(undefined)
 })
 
-test('entries that give out the same targets start nothing twice', () => {
-  expect(search(5000, 60, Theme.Partitions)).toEqual(undefined)
+test('entries that grant capacity of the same targets start no task twice', () => {
+  expect(findFirst(5000, 60, Theme.Partitions)).toEqual(undefined)
 })
 
-test('late processes and targets that refuse connections start nothing twice', () => {
-  expect(search(5000, 60, Theme.Lateness)).toEqual(undefined)
+test('delayed processes and targets that refuse connections start no task twice', () => {
+  expect(findFirst(5000, 60, Theme.Lateness)).toEqual(undefined)
 })
 
 for (const seed of FAILED_SEEDS) {
-  test(`seed ${seed}, which once failed, breaks no promise`, () => {
+  test(`seed ${seed}, which found a fault, violates no invariant`, () => {
     expect(runSeed(seed, Theme.Processes).violation).toEqual(undefined)
   })
 }
 
 for (const [guard, { first, runs, theme = Theme.Processes, only }] of Object.entries(GUARDS)) {
-  test(`without the guard "${guard}" a promise is broken`, () => {
-    expect(search(first, runs, theme, { broken: guard, only }) === undefined).toEqual(false)
+  test(`without the guard "${guard}" an invariant is violated`, () => {
+    expect(findFirst(first, runs, theme, { broken: guard, only }) === undefined).toEqual(false)
   })
 }
--- a/packages/dispatch/test/nextlife.test.ts
+++ b/packages/dispatch/test/nextlife.test.ts
@@ -1,7 +1,7 @@
 /** Orders that the next life of a target may take, which has the name of the one before and grants its longest lease. */
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { faultNames, runSeed, search, Theme } from '../explore/faults.ts'
+import { faultNames, runSeed, findFirst, Theme } from '../explore/faults.ts'
 import { PollFailure } from '../src/agenttypes.ts'
 import { AgentBench, ENTRY, NEW_ID_EACH_LIFE, order, TIMINGS } from './agentbench.ts'
 
@@ -143,7 +143,7 @@
 }
 
 test('orders that reach the next life of a target start nothing twice on fresh seeds', () => {
-  expect(search(30_000, 60, Theme.Lateness, { only: 'nextLifeUnstopped' })).toEqual(undefined)
+  expect(findFirst(30_000, 60, Theme.Lateness, { only: 'nextLifeUnstopped' })).toEqual(undefined)
 })
 
 test('faults that are played by name only are named like the others', () => {
