--- a/packages/cli/src/apply.ts
+++ b/packages/cli/src/apply.ts
@@ -1,9 +1,9 @@
-/** `apply FILE`: puts a file into force as a whole, or changes nothing. */
+/** `apply FILE`: replaces the configuration in force with a file, or writes nothing. */
 import { differenceOf } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
 import type { Accepted } from './applying.ts'
-import { checkSize, raceLost, readBase, replaceBase, reportAccepted } from './applying.ts'
+import { checkSize, createRaceLost, readBase, replaceBase, reportAccepted } from './applying.ts'
 import { readFile } from './check.ts'
 import type { Arguments, Command, Context, Report } from './command.ts'
 import type { ToolError } from './errors.ts'
@@ -25,18 +25,18 @@
   if (stored !== undefined && differenceOf(stored.document, document.value).length === 0) {
     return ok({ version: stored.version, latest: stored.version, applyId: undefined, changes: [] })
   }
-  if (stored !== undefined && stored.version !== editedFrom) return err(await raceLost(context, editedFrom, stored))
+  if (stored !== undefined && stored.version !== editedFrom) return err(await createRaceLost(context, editedFrom, stored))
   return await replaceBase(context, base.value, document.value)
 }
 
-/** The command. */
+/** The `apply` command. */
 export const apply: Command = {
   usage: 'apply <file>',
-  summary: 'Put a configuration file into force as a whole, or change nothing',
+  summary: 'Replace the configuration in force with a file, or change nothing',
   options: [...STORE_OPTIONS, 'wait', 'wait-seconds', 'status'],
   positionals: { file: { describe: 'The configuration file', type: 'string' } },
   examples: [
-    ['$0 get > configuration.json', 'begin with what is in force'],
+    ['$0 get > configuration.json', 'start from the configuration in force'],
     ['$0 apply configuration.json --wait', 'apply the edited file and wait until it is in force everywhere']
   ],
   run: (context, options) => new ResultAsync(applyFile(context, options))
--- a/packages/cli/src/applying.ts
+++ b/packages/cli/src/applying.ts
@@ -1,4 +1,4 @@
-/** Replacing the configuration in force, and reporting it: what `apply` and `drain` share. */
+/** Replaces the configuration in force and reports the result; shared by `apply` and `drain`. */
 import type { ConfigurationFile, StoredConfiguration } from '@amaranthmast/settings/configurationfile'
 import { tooLarge } from '@amaranthmast/settings/configurationfile'
 import { MAXIMUM_VALUE_BYTES } from '@amaranthmast/settings/defaults'
@@ -9,61 +9,64 @@
 import type { Arguments, Context, Report } from './command.ts'
 import type { CurrentConfiguration } from './configurationstore.ts'
 import { versionOf } from './configurationstore.ts'
-import { describe, waitForVersion } from './confirmation.ts'
-import { BASE_READS, SETTLE_PAUSE_MILLISECONDS } from './defaults.ts'
+import { describeConfirmation, waitForVersion } from './confirmation.ts'
+import { MAX_BASE_READS, SETTLE_PAUSE_MILLISECONDS } from './defaults.ts'
 import type { ToolError } from './errors.ts'
 import { BaseAhead, FileRefused, RaceLost } from './errors.ts'
 import { ExitCode } from './exitcodes.ts'
 
-/** Room for the version, the apply id and the time beside the document. */
-const RECORD_BYTES = 256
+/** Bytes reserved for the version, the apply id and the time that are stored with the document. */
+const RECORD_OVERHEAD_BYTES = 256
 
 /** An accepted configuration. */
 export interface Accepted {
   version: number
-  /** Undefined when the version in force held the same already and nothing was written. */
+  /** Undefined if the version in force is identical and nothing was written. */
   applyId: string | undefined
-  /** Higher than `version` when a later apply has replaced it already. */
+  /** Latest version; higher than `version` if a later apply has already replaced it. */
   latest: number
   changes: Change[]
 }
 
-/** Reads the configuration in force as the base of a file. */
+/**
+ * Reads the configuration in force as the base of a file. An answer older than the file's base may come from a replica that
+ * lags, so it is read again a few times before the call fails with `BaseAhead`.
+ */
 export async function readBase (context: Context, editedFrom: number): Promise<Result<CurrentConfiguration, ToolError>> {
   for (let read = 1; ; read++) {
     const current = await context.configurations.current()
     if (current.isErr() || versionOf(current.value) >= editedFrom) return current
-    if (read >= BASE_READS) return err(new BaseAhead(editedFrom, versionOf(current.value)))
+    if (read >= MAX_BASE_READS) return err(new BaseAhead(editedFrom, versionOf(current.value)))
     await context.sleep(SETTLE_PAUSE_MILLISECONDS)
   }
 }
 
-/** The refusal of a file that was edited from another version than the one in force. */
-export async function raceLost (context: Context, editedFrom: number, stored: StoredConfiguration): Promise<ToolError> {
+/** Creates the error for a file whose base is not the version in force, with the changes since that base. */
+export async function createRaceLost (context: Context, editedFrom: number, stored: StoredConfiguration): Promise<ToolError> {
   const base = editedFrom === 0 ? ok(undefined) : await context.configurations.version(editedFrom)
   const isKnown = base.isOk() && (editedFrom === 0 || base.value !== undefined)
   const changes = isKnown ? differenceOf(base.value?.document, stored.document) : undefined
   return new RaceLost(editedFrom, stored.version, changes)
 }
 
-/** Replaces `base`; fails with `RaceLost` when another apply was faster. */
+/** Replaces `base`; fails with `RaceLost` if a concurrent apply replaced it first. */
 export async function replaceBase (context: Context, base: CurrentConfiguration, file: ConfigurationFile): Promise<Result<Accepted, ToolError>> {
   const changes = differenceOf(base.stored?.document, file)
   const applyId = context.newApplyId()
   const replaced = await context.configurations.replace(base, file, applyId)
   if (replaced.isErr()) return err(replaced.error)
-  if (replaced.value.outcome === 'raceLost') return err(await raceLost(context, versionOf(base), replaced.value.stored))
+  if (replaced.value.outcome === 'raceLost') return err(await createRaceLost(context, versionOf(base), replaced.value.stored))
   const { version, latest } = replaced.value
   return ok({ version, latest, applyId, changes })
 }
 
-/** Refuses a document that the key-value service could not hold with what is stored beside it. */
+/** Refuses a document that exceeds the value limit of the key-value service together with its metadata. */
 export function checkSize (file: string, document: ConfigurationFile): Result<void, ToolError> {
-  const bytes = Buffer.byteLength(JSON.stringify(document)) + RECORD_BYTES
+  const bytes = Buffer.byteLength(JSON.stringify(document)) + RECORD_OVERHEAD_BYTES
   return bytes > MAXIMUM_VALUE_BYTES ? err(new FileRefused(file, tooLarge(bytes))) : ok(undefined)
 }
 
-/** Reports an accepted configuration, after the wait if one was asked for. */
+/** Reports an accepted configuration, with `--wait` once all instances have it in force or the wait times out. */
 export async function reportAccepted (context: Context, options: Arguments, accepted: Accepted): Promise<Report> {
   const lines = describeAccepted(accepted)
   if (!options.wait) return { exitCode: ExitCode.Done, lines, json: accepted }
@@ -78,7 +81,7 @@
   })
   return {
     exitCode: confirmation.confirmed ? ExitCode.Done : ExitCode.WaitTimedOut,
-    lines: [describe(confirmation, accepted.version), ...waitAdvice(confirmation.confirmed, options.waitSeconds)],
+    lines: [describeConfirmation(confirmation, accepted.version), ...waitAdvice(confirmation.confirmed, options.waitSeconds)],
     json: { ...accepted, ...confirmation }
   }
 }
@@ -92,5 +95,5 @@
 
 function waitAdvice (confirmed: boolean, seconds: number): string[] {
   if (confirmed) return []
-  return [`Not confirmed everywhere after ${seconds} s. The version is accepted and stays; run status to see who is behind.`]
+  return [`Not confirmed everywhere after ${seconds} s. The version is accepted and stays; run status to see which instances are behind.`]
 }
--- a/packages/cli/src/check.ts
+++ b/packages/cli/src/check.ts
@@ -1,4 +1,4 @@
-/** `check FILE`: checks an operators' file without asking anybody. */
+/** `check FILE`: validates a configuration file without contacting any service. */
 import { okAsync } from 'neverthrow'
 import { parseConfigurationFile, warningsOf } from '@amaranthmast/settings/configurationfile'
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
@@ -7,9 +7,9 @@
 import type { ToolError } from './errors.ts'
 import { FileRefused } from './errors.ts'
 import { ExitCode } from './exitcodes.ts'
-import { counted } from './table.ts'
+import { formatCount } from './table.ts'
 
-/** Reads and checks a file. */
+/** Reads and validates a configuration file. */
 export function readFile (context: Context, file: string): Result<ConfigurationFile, ToolError> {
   return context.readText(file)
     .andThen(parseConfigurationFile)
@@ -19,9 +19,9 @@
 function reportChecked (file: string, document: ConfigurationFile): Report {
   const { services, providers, tenants } = document
   const parts = [
-    counted(Object.keys(services).length, 'service'),
-    counted(Object.keys(providers).length, 'provider'),
-    counted(Object.keys(tenants).length, 'tenant')
+    formatCount(Object.keys(services).length, 'service'),
+    formatCount(Object.keys(providers).length, 'provider'),
+    formatCount(Object.keys(tenants).length, 'tenant')
   ]
   const warnings = warningsOf(document)
   return {
@@ -31,13 +31,13 @@
   }
 }
 
-/** The command. */
+/** The `check` command. */
 export const check: Command = {
   usage: 'check <file>',
-  summary: 'Check a configuration file; every fault is named with its path',
+  summary: 'Check a configuration file; every error is listed with its path',
   options: ['json'],
   positionals: { file: { describe: 'The configuration file', type: 'string' } },
-  examples: [['$0 check configuration.json', 'check a file before it is applied']],
+  examples: [['$0 check configuration.json', 'check a file before applying it']],
   run: (context, { file }) => okAsync<undefined, ToolError>(undefined)
     .andThen(() => readFile(context, file))
     .map((document) => reportChecked(file, document))
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,4 +1,4 @@
-/** What a command of the tool is: its description for the parser, and the function that carries it out. */
+/** Interface of the tool's commands: a description for the parser and the function that runs the command. */
 import type { DrainKind } from '@amaranthmast/settings/difference'
 import type { FileUnreadable } from '@amaranthmast/settings/errors'
 import type { Result, ResultAsync } from 'neverthrow'
@@ -8,7 +8,7 @@
 import type { Instances } from './instances.ts'
 import type { OptionName } from './options.ts'
 
-/** What the parser found on the command line. Each command reads the parts that it declares. */
+/** Parsed command line. Each command reads only the options and arguments that it declares. */
 export interface Arguments {
   store: string[]
   prefix: string
@@ -25,45 +25,45 @@
   name: string
   job: string
   logs: string[]
-  /** Past version; undefined for the one in force. */
+  /** Past version to print; undefined for the one in force. */
   past?: number
 }
 
-/** What a command works with; the edges can be replaced in tests. */
+/** Services that commands use; tests replace those that do I/O. */
 export interface Context {
   configurations: ConfigurationStore
   instances: Instances
   readText: (path: string) => Result<string, FileUnreadable>
-  /** Lines of a file that may be larger than memory; throws when it cannot be read. */
+  /** Streams the lines of a file, which may be larger than memory; throws if it cannot be read. */
   readLines: (path: string) => AsyncIterable<string>
-  /** Clock in milliseconds since 1970. */
+  /** Current time in milliseconds since the Unix epoch. */
   now: () => number
   sleep: (milliseconds: number) => Promise<void>
-  /** A name that no other apply has. */
+  /** Creates a unique id for an apply. */
   newApplyId: () => string
-  /** Shows a line at once, apart from the report. */
+  /** Prints a line immediately, separate from the report. */
   progress: (line: string) => void
-  /** Replaces the picture on the screen. */
-  picture: (lines: readonly string[]) => void
+  /** Clears the screen and prints the lines. */
+  redraw: (lines: readonly string[]) => void
 }
 
-/** What a command reports when it has not failed. */
+/** Result of a command that did not fail. */
 export interface Report {
   exitCode: ExitCode
-  /** For a person. */
+  /** Text output. */
   lines: string[]
-  /** For a script. */
+  /** Output with `--json`. */
   json: object
 }
 
-/** One command. */
+/** A command of the tool. */
 export interface Command {
-  /** As yargs takes it: name and positional arguments. */
+  /** Name and positional arguments in the syntax of yargs. */
   usage: string
   summary: string
   options: readonly OptionName[]
   positionals: Readonly<Record<string, { describe: string, type?: 'string' | 'number', array?: true, choices?: readonly string[] }>>
-  /** Command lines with what they do. */
+  /** Example command lines with their descriptions. */
   examples: ReadonlyArray<readonly [string, string]>
   run: (context: Context, options: Arguments) => ResultAsync<Report, ToolError>
 }
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the tool by name. */
+/** Registry of the tool's commands by name. */
 import { apply } from './apply.ts'
 import { check } from './check.ts'
 import type { Command } from './command.ts'
@@ -12,5 +12,5 @@
 import { status } from './status.ts'
 import { top } from './top.ts'
 
-/** Every command, in the order in which help lists them. */
+/** All commands, in the order of the help text. */
 export const COMMANDS: Readonly<Record<string, Command>> = { check, plan, apply, get, drain, status, history, top, fleet, explain, losses }
--- a/packages/cli/src/configurationstore.ts
+++ b/packages/cli/src/configurationstore.ts
@@ -1,4 +1,4 @@
-/** The configuration in the key-value service: reading it, its history, and replacing it exactly once. */
+/** Reads the configuration and its history from the key-value service, and replaces the configuration at most once per apply. */
 import type { KeyValueClient } from '@amaranthmast/store/client'
 import type { KeyValueEntry } from '@amaranthmast/store/entries'
 import type { StoreError } from '@amaranthmast/store/errors'
@@ -12,20 +12,20 @@
 import type { ToolError } from './errors.ts'
 import { ApplyUnsettled, BaseAhead, StoredValueUnreadable, StoreFailed } from './errors.ts'
 
-/** The calls that are made here. */
+/** Key-value operations used by the configuration store. */
 export type ConfigurationClient = Pick<KeyValueClient, 'read' | 'compareAndSwap'>
 
-/** What the store is made of. */
+/** Options of `ConfigurationStore`. */
 export interface ConfigurationStoreOptions {
   client: ConfigurationClient
   /** Prefix of every key. */
   prefix: string
-  /** Clock in milliseconds. */
+  /** Current time in milliseconds since the Unix epoch. */
   now: () => number
   sleep: (milliseconds: number) => Promise<void>
 }
 
-/** The configuration in force, and what a replacement is compared with. */
+/** Configuration in force, and the revision that a replacement compares with. */
 export interface CurrentConfiguration {
   /** Undefined before the first apply. */
   stored: StoredConfiguration | undefined
@@ -33,17 +33,17 @@
   modRevision: number
 }
 
-/** How a replacement ended. */
+/** Outcome of a replacement. */
 export type ReplaceOutcome =
-  /** It is accepted; `latest` is higher than `version` when a later apply has replaced it already. */
+  /** The configuration is accepted; `latest` is higher than `version` if a later apply has already replaced it. */
   | { outcome: 'accepted', version: number, latest: number }
-  /** Another apply was faster and nothing was written. */
+  /** A concurrent apply came first and nothing was written. */
   | { outcome: 'raceLost', stored: StoredConfiguration }
 
-/** What one attempt to replace the configuration has shown. */
+/** Result of one attempt to replace the configuration. */
 type Attempt =
   | { known: Result<ReplaceOutcome, ToolError> }
-  /** The attempt has shown nothing; `cause` is why. */
+  /** The outcome is still unknown, because of `cause`. */
   | { known: undefined, cause: StoreError }
 
 /** Version of the configuration in force; 0 before the first apply. */
@@ -51,7 +51,7 @@
   return current.stored?.version ?? 0
 }
 
-/** Access to the configuration and its history. */
+/** Client for the configuration and its history. */
 export class ConfigurationStore {
   readonly #client: ConfigurationClient
   readonly #prefix: string
@@ -70,7 +70,7 @@
     return this.#read(configurationKey(this.#prefix))
   }
 
-  /** Reads a past version; undefined when it is not kept any more. */
+  /** Reads a past version; undefined if it is no longer kept. */
   version (version: number): ResultAsync<StoredConfiguration | undefined, ToolError> {
     return this.#read(historyKey(this.#prefix, version))
       .map(({ stored }) => stored?.version === version ? stored : undefined)
@@ -79,11 +79,11 @@
   /**
    * Replaces the configuration that was read as `base`, or writes nothing.
    *
-   * When the answer is lost, the write may have taken effect, or may do so later. Reading the base
-   * back would prove nothing, so the same write is sent again: all copies compare with the same
-   * revision, and the store lets at most one of them through. One that is refused returns what the
-   * key holds, and the apply id there, or in the history under this version when a later apply has
-   * replaced it, tells whether an earlier copy was the one that got through.
+   * If the answer is lost, the write may have taken effect or may still do so. Reading the key
+   * would not rule out a later effect, so the same write is sent again: all copies compare with the
+   * same revision, so the store applies at most one of them. A copy that is refused returns the current
+   * value of the key. The apply id in that value, or in the history of this version if a later apply
+   * has replaced it, shows whether an earlier copy was applied.
    */
   replace (base: CurrentConfiguration, document: ConfigurationFile, applyId: string): ResultAsync<ReplaceOutcome, ToolError> {
     return new ResultAsync(this.#replace(base, document, applyId))
@@ -109,22 +109,22 @@
     const history = { key: historyKey(this.#prefix, record.version), value }
     const swap = await this.#client.compareAndSwap(configurationKey(this.#prefix), modRevision, value, [history])
     if (swap.isErr()) return { known: undefined, cause: swap.error }
-    if (swap.value.applied) return known({ outcome: 'accepted', version: record.version, latest: record.version })
-    return await this.#afterConflict(swap.value.entry, record, inDoubt)
+    if (swap.value.applied) return settled({ outcome: 'accepted', version: record.version, latest: record.version })
+    return await this.#resolveConflict(swap.value.entry, record, inDoubt)
   }
 
-  /** The key holds another revision: an earlier copy of this write got through, or another apply did. */
-  async #afterConflict (entry: KeyValueEntry | undefined, record: StoredConfiguration, inDoubt: boolean): Promise<Attempt> {
+  /** Resolves a revision conflict: either an earlier copy of this write was applied, or another apply. */
+  async #resolveConflict (entry: KeyValueEntry | undefined, record: StoredConfiguration, inDoubt: boolean): Promise<Attempt> {
     if (entry === undefined) return { known: err(new BaseAhead(record.version - 1, 0)) }
     const parsed = this.#parse(entry)
     if (parsed.isErr()) return { known: err(parsed.error) }
     const stored = parsed.value
-    if (stored.applyId === record.applyId) return known({ outcome: 'accepted', version: record.version, latest: stored.version })
-    if (!inDoubt || stored.version <= record.version) return known({ outcome: 'raceLost', stored })
+    if (stored.applyId === record.applyId) return settled({ outcome: 'accepted', version: record.version, latest: stored.version })
+    if (!inDoubt || stored.version <= record.version) return settled({ outcome: 'raceLost', stored })
     return await this.#searchHistory(stored, record)
   }
 
-  /** A later apply has replaced whichever took this version: the history tells which it was. */
+  /** Looks up in the history which apply took this version, since a later apply has replaced it in the key. */
   async #searchHistory (stored: StoredConfiguration, record: StoredConfiguration): Promise<Attempt> {
     const key = historyKey(this.#prefix, record.version)
     const read = await this.#client.read(key)
@@ -133,8 +133,8 @@
     const past = entry === undefined ? ok(undefined) : this.#parse(entry)
     if (past.isErr()) return { known: err(past.error) }
     if (past.value?.version !== record.version) return { known: undefined, cause: new StoreTimedOut(`stale answer for ${key}`, true) }
-    if (past.value.applyId === record.applyId) return known({ outcome: 'accepted', version: record.version, latest: stored.version })
-    return known({ outcome: 'raceLost', stored })
+    if (past.value.applyId === record.applyId) return settled({ outcome: 'accepted', version: record.version, latest: stored.version })
+    return settled({ outcome: 'raceLost', stored })
   }
 
   #read (key: string): ResultAsync<CurrentConfiguration, ToolError> {
@@ -151,6 +151,6 @@
   }
 }
 
-function known (outcome: ReplaceOutcome): Attempt {
+function settled (outcome: ReplaceOutcome): Attempt {
   return { known: ok(outcome) }
 }
--- a/packages/cli/src/context.ts
+++ b/packages/cli/src/context.ts
@@ -1,4 +1,4 @@
-/** The edges that commands work with, made from the options of one command line. */
+/** Creates the context of a command from its options: clients, file access, clock and output. */
 import { randomUUID } from 'node:crypto'
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
@@ -11,7 +11,7 @@
 import { Instances } from './instances.ts'
 import { requestPage } from './statuspage.ts'
 
-/** Where text goes. */
+/** Output streams of the tool. */
 export interface Output {
   /** Results. */
   out: (text: string) => void
@@ -19,14 +19,14 @@
   err: (text: string) => void
 }
 
-/** A context and the connections that it holds. */
+/** Context with its open connections. */
 export interface OpenContext extends Context {
   close: () => Promise<void>
 }
 
 const CLEAR_SCREEN = '\u001b[2J\u001b[H'
 
-/** Opens the edges. Nothing is sent before a command asks for it. */
+/** Creates the context. No request is sent until a command makes one. */
 export function openContext (options: Arguments, output: Output): OpenContext {
   const client = new KeyValueClient({
     endpoints: options.store, timeoutMilliseconds: STORE_TIMEOUT_MILLISECONDS, random: Math.random, now: Date.now
@@ -41,7 +41,7 @@
     sleep: pause,
     newApplyId: randomUUID,
     progress: (line) => output.err(`${line}\n`),
-    picture: (lines) => output.out(`${CLEAR_SCREEN}${lines.join('\n')}\n`),
+    redraw: (lines) => output.out(`${CLEAR_SCREEN}${lines.join('\n')}\n`),
     close: () => client.close()
   }
 }
--- a/packages/cli/src/defaults.ts
+++ b/packages/cli/src/defaults.ts
@@ -1,43 +1,43 @@
-/** Limits and intervals of the tool. Durations are in milliseconds. */
+/** Default values, limits and intervals of the tool. Names state the unit of durations. */
 
-/** Endpoint of the key-value service when none is named. */
+/** Endpoint of the key-value service if no `--store` is given. */
 export const DEFAULT_STORE = 'http://127.0.0.1:2379'
 
 /** Time limit of one call to the key-value service. */
 export const STORE_TIMEOUT_MILLISECONDS = 1000
 
-/** How long the outcome of an apply is sought after its answer was lost. */
+/** Time limit for settling the outcome of an apply whose answer was lost. */
 export const SETTLE_MILLISECONDS = 5000
 
-/** Pause between two attempts to settle it. */
+/** Pause between two attempts to settle the outcome of an apply. */
 export const SETTLE_PAUSE_MILLISECONDS = 200
 
-/** Reads of the configuration in force when its answer is older than the file's base. */
-export const BASE_READS = 5
+/** Maximum number of reads of the configuration in force while the answer is older than the file's base. */
+export const MAX_BASE_READS = 5
 
-/** Times that a drain is tried again after another apply was faster. */
-export const DRAIN_ATTEMPTS = 5
+/** Maximum number of attempts of a drain that loses races against other applies. */
+export const MAX_DRAIN_ATTEMPTS = 5
 
 /** Time limit of one request to a status port. */
 export const STATUS_TIMEOUT_MILLISECONDS = 1000
 
-/** Requests to status ports at one time. */
-export const STATUS_REQUESTS = 32
+/** Maximum number of concurrent requests to status ports. */
+export const MAX_CONCURRENT_STATUS_REQUESTS = 32
 
-/** How long `--wait` waits when nothing else is said, in seconds. */
-export const WAIT_SECONDS = 15
+/** Default of `--wait-seconds`. */
+export const DEFAULT_WAIT_SECONDS = 15
 
-/** Pause between two rounds of questions to all instances. */
-export const WAIT_PAUSE_MILLISECONDS = 250
+/** Pause between two polls of all instances during a wait. */
+export const WAIT_POLL_MILLISECONDS = 250
 
-/** Versions that `history` lists. */
-export const HISTORY_LIMIT = 20
+/** Default number of versions that `history` lists. */
+export const DEFAULT_HISTORY_LIMIT = 20
 
-/** Seconds between two pictures of `top`. */
-export const TOP_SECONDS = 2
+/** Default refresh interval of `top`, in seconds. */
+export const DEFAULT_TOP_INTERVAL_SECONDS = 2
 
-/** Status addresses read from the key-value service. */
-export const PUBLISHED_LIMIT = 1000
+/** Maximum number of status addresses read from the key-value service. */
+export const MAX_PUBLISHED_INSTANCES = 1000
 
-/** Instances that a wait names as behind; of a large fleet the others are counted. */
-export const LAGGARDS_NAMED = 5
+/** Maximum number of lagging instances that a wait names. The others are only counted, since a fleet may be large. */
+export const MAX_NAMED_LAGGARDS = 5
--- a/packages/cli/src/drain.ts
+++ b/packages/cli/src/drain.ts
@@ -1,6 +1,6 @@
 /**
- * `drain KIND NAME`: takes a target, a rack, a data centre or a provider out of service, or puts it back. It is an
- * apply of the draining lists: compared and swapped like any other, and part of the history.
+ * `drain KIND NAME`: takes a target, a rack, a data centre or a provider out of service, or returns it to service. It applies
+ * changed draining lists with the same compare-and-swap as any other apply, and appears in the history.
  */
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
 import { checkConfigurationFile, warningsOf } from '@amaranthmast/settings/configurationfile'
@@ -10,13 +10,13 @@
 import type { Accepted } from './applying.ts'
 import { replaceBase, reportAccepted } from './applying.ts'
 import type { Arguments, Command, Context, Report } from './command.ts'
-import { DRAIN_ATTEMPTS } from './defaults.ts'
+import { MAX_DRAIN_ATTEMPTS } from './defaults.ts'
 import type { ToolError } from './errors.ts'
 import { FileRefused, RaceLost, RequestRefused } from './errors.ts'
 import { STORE_OPTIONS } from './options.ts'
 
-async function drainPart (context: Context, options: Arguments): Promise<Result<Report, ToolError>> {
-  const accepted = await acceptDrain(context, options)
+async function runDrain (context: Context, options: Arguments): Promise<Result<Report, ToolError>> {
+  const accepted = await applyDrain(context, options)
   if (accepted.isErr()) return err(accepted.error)
   const report = await reportAccepted(context, options, accepted.value.accepted)
   const warnings = warningsOf(accepted.value.document)
@@ -24,10 +24,10 @@
 }
 
 /**
- * The order names one part of the fleet and not a whole file, so it holds whatever another apply has
- * changed meanwhile: after a lost race it is made again from what is in force then.
+ * Applies the drain to the configuration in force. The request names one part of the fleet, not a whole file, so it
+ * remains valid after a concurrent apply: after a lost race it is applied to the new configuration.
  */
-async function acceptDrain (context: Context, options: Arguments): Promise<Result<{ accepted: Accepted, document: ConfigurationFile }, ToolError>> {
+async function applyDrain (context: Context, options: Arguments): Promise<Result<{ accepted: Accepted, document: ConfigurationFile }, ToolError>> {
   for (let attempt = 1; ; attempt++) {
     const base = await context.configurations.current()
     if (base.isErr()) return err(base.error)
@@ -38,11 +38,11 @@
     if (document.value === undefined) return ok({ accepted: unchanged(stored.version), document: stored.document })
     const accepted = await replaceBase(context, base.value, document.value)
     if (accepted.isOk()) return ok({ accepted: accepted.value, document: document.value })
-    if (!(accepted.error instanceof RaceLost) || attempt >= DRAIN_ATTEMPTS) return err(accepted.error)
+    if (!(accepted.error instanceof RaceLost) || attempt >= MAX_DRAIN_ATTEMPTS) return err(accepted.error)
   }
 }
 
-/** The document with the drain begun or ended; undefined when it is so already. */
+/** Returns the document with the drain started or ended; undefined if it already is. */
 function changeDrain (document: ConfigurationFile, version: number, { kind, name, undo }: Arguments): Result<ConfigurationFile | undefined, ToolError> {
   const field = DRAIN_FIELDS[kind]
   const names = document.draining[field]
@@ -56,19 +56,19 @@
   return { version, latest: version, applyId: undefined, changes: [] }
 }
 
-/** The command. */
+/** The `drain` command. */
 export const drain: Command = {
   usage: 'drain <kind> <name>',
-  summary: 'Give a target, a rack, a data centre or a provider no new work; what runs is finished',
+  summary: 'Send no new work to a target, a rack, a data centre or a provider; running tasks finish',
   options: [...STORE_OPTIONS, 'undo', 'wait', 'wait-seconds', 'status'],
   positionals: {
-    kind: { describe: 'What is drained', type: 'string', choices: Object.values(DrainKind) },
-    name: { describe: 'Its name; a target has the id of its agent', type: 'string' }
+    kind: { describe: 'What to drain', type: 'string', choices: Object.values(DrainKind) },
+    name: { describe: 'Name; for a target the id of its agent', type: 'string' }
   },
   examples: [
     ['$0 drain rack r1 --wait', 'take a rack out of service'],
     ['$0 drain data-centre gulf-1 --wait', 'evacuate a data centre'],
-    ['$0 drain target agent-3 --undo', 'put a target back']
+    ['$0 drain target agent-3 --undo', 'return a target to service']
   ],
-  run: (context, options) => new ResultAsync(drainPart(context, options))
+  run: (context, options) => new ResultAsync(runDrain(context, options))
 }
--- a/packages/cli/src/errors.ts
+++ b/packages/cli/src/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the tool, each with the exit code that it ends with. */
+/** Errors of the tool with their exit codes. */
 import type { StoreError } from '@amaranthmast/store/errors'
 import type { SettingsError } from '@amaranthmast/settings/errors'
 import { DocumentRefused } from '@amaranthmast/settings/errors'
@@ -6,18 +6,18 @@
 import { formatChanges } from '@amaranthmast/settings/difference'
 import { ExitCode } from './exitcodes.ts'
 
-/** Any error of the tool. */
+/** Base class of the tool's errors. */
 export abstract class ToolError extends Error {
   abstract readonly code: string
   abstract readonly exitCode: ExitCode
 
-  /** What a script is told beside `code` and `message`. */
+  /** Additional fields of the error in JSON output. */
   get details (): object {
     return {}
   }
 }
 
-/** The file cannot be read or has faults. */
+/** The configuration file cannot be read or is invalid. */
 export class FileRefused extends ToolError {
   readonly code = 'FILE_REFUSED'
   readonly exitCode = ExitCode.BadInput
@@ -33,7 +33,7 @@
   }
 }
 
-/** A log cannot be read. */
+/** A log file cannot be read. */
 export class LogUnreadable extends ToolError {
   readonly code = 'LOG_UNREADABLE'
   readonly exitCode = ExitCode.BadInput
@@ -43,19 +43,19 @@
   }
 }
 
-/** The command asks for something that cannot be done. */
+/** The request cannot be carried out in the present state. */
 export class RequestRefused extends ToolError {
   readonly code = 'REQUEST_REFUSED'
   readonly exitCode = ExitCode.BadInput
 }
 
-/** The key-value service holds something that is not a configuration. */
+/** The stored value cannot be parsed as a configuration. */
 export class StoredValueUnreadable extends ToolError {
   readonly code = 'STORED_VALUE_UNREADABLE'
   readonly exitCode = ExitCode.Refused
 
   constructor (key: string, reason: string) {
-    super(`the value under ${key} cannot be read as a configuration: nothing was written; use a tool of the version that wrote it\n${indent(reason)}`)
+    super(`the value under ${key} cannot be read as a configuration: nothing was written; use the version of the tool that wrote it\n${indent(reason)}`)
   }
 }
 
@@ -68,12 +68,12 @@
   /**
    * @param base version that the file was edited from
    * @param version version in force
-   * @param changes what changed from one to the other; undefined when the base is no longer kept
+   * @param changes changes between the two versions; undefined if the base is no longer kept
    */
   constructor (base: number, version: number, changes: readonly Change[] | undefined) {
     super([
       `nothing was written: the file was edited from version ${base}, and version ${version} is in force.`,
-      ...describeSince(base, changes),
+      ...describeChangesSince(base, changes),
       'Run get, make your changes in what it prints, and apply that.'
     ].join('\n'))
     this.#details = { base, version, changes }
@@ -84,13 +84,13 @@
   }
 }
 
-function describeSince (base: number, changes: readonly Change[] | undefined): string[] {
+function describeChangesSince (base: number, changes: readonly Change[] | undefined): string[] {
   if (changes === undefined) return [`What changed since version ${base} cannot be shown: that version is not kept.`]
   if (changes.length === 0) return [`Nothing differs from version ${base}.`]
   return [`Changed since version ${base}:`, ...formatChanges(changes).map((line) => `  ${line}`)]
 }
 
-/** The store's version is below the one that the file was edited from. */
+/** The store returns a version older than the one that the file was edited from. */
 export class BaseAhead extends ToolError {
   readonly code = 'BASE_AHEAD'
   readonly exitCode = ExitCode.Refused
@@ -101,7 +101,7 @@
   }
 }
 
-/** The key-value service cannot be reached, or refuses the call. */
+/** The key-value service cannot be reached or refuses the request. */
 export class StoreFailed extends ToolError {
   readonly exitCode = ExitCode.StoreUnavailable
   readonly code: string
@@ -112,14 +112,14 @@
   }
 }
 
-/** It is not known whether the apply took effect. */
+/** The outcome of an apply is unknown, because its answer was lost and could not be settled. */
 export class ApplyUnsettled extends ToolError {
   readonly code = 'APPLY_UNSETTLED'
   readonly exitCode = ExitCode.Unsettled
   readonly #details: { version: number, applyId: string }
 
   constructor (version: number, applyId: string, cause: StoreError) {
-    super(`the answer of the key-value service was lost, and it does not answer since (${cause.message}). ` +
+    super(`the answer of the key-value service was lost, and the service has not answered since (${cause.message}). ` +
       `The apply may have taken effect as version ${version}: when the service is back, run history and look for apply ${applyId}; ` +
       'applying the same file again does no harm.', { cause })
     this.#details = { version, applyId }
@@ -130,7 +130,7 @@
   }
 }
 
-/** The lines of a text, each moved to the right. */
+/** Indents each line of a text by two spaces. */
 export function indent (text: string): string {
   return text.split('\n').map((line) => `  ${line}`).join('\n')
 }
--- a/packages/cli/src/explain.ts
+++ b/packages/cli/src/explain.ts
@@ -1,10 +1,10 @@
-/** `explain JOB LOG...`: one job's story over all processes. */
+/** `explain JOB LOG...`: prints the log lines about one job from all processes in order of time. */
 import { JobStory } from '@amaranthmast/logs/story'
 import type { Command } from './command.ts'
 import { ExitCode } from './exitcodes.ts'
 import { describeUnreadable, readLogs } from './logfiles.ts'
 
-/** The command. */
+/** The `explain` command. */
 export const explain: Command = {
   usage: 'explain <job> <logs..>',
   summary: 'Print what every process decided about one job, in order',
--- a/packages/cli/src/exposition.ts
+++ b/packages/cli/src/exposition.ts
@@ -1,6 +1,6 @@
-/** Reads the text format in which the daemons expose their metrics. */
+/** Parser of the Prometheus text format in which the daemons expose their metrics. */
 
-/** One sample. */
+/** Sample of a metric. */
 export interface MetricSample {
   labels: Record<string, string>
   value: number
@@ -9,7 +9,7 @@
 const SAMPLE = /^([A-Za-z_:][\w:]*)(?:\{(.*)\})? (\S+)$/
 const LABEL = /([A-Za-z_]\w*)="((?:[^"\\]|\\.)*)"/g
 
-/** All samples by the name of their metric. Lines that are no samples are left out. */
+/** Parses all samples, grouped by metric name. Lines that are not samples are skipped. */
 export function parseExposition (text: string): Map<string, MetricSample[]> {
   const metrics = new Map<string, MetricSample[]>()
   for (const line of text.split('\n')) {
--- a/packages/cli/src/get.ts
+++ b/packages/cli/src/get.ts
@@ -1,4 +1,4 @@
-/** `get [VERSION]`: prints a configuration file, ready to be edited and applied. */
+/** `get [VERSION]`: prints a configuration file that can be edited and applied. */
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
@@ -9,7 +9,7 @@
 import { ExitCode } from './exitcodes.ts'
 import { STORE_OPTIONS } from './options.ts'
 
-/** What is printed before the first apply: a valid file to begin with. */
+/** Valid empty file that is printed before the first apply. */
 const FIRST_FILE: ConfigurationFile = {
   editedFrom: 0, services: {}, providers: {}, tenants: {}, draining: { targets: [], racks: [], dataCentres: [], providers: [] }
 }
@@ -25,21 +25,21 @@
   return ok(reportFile(stored.value.document, inForce))
 }
 
-/** The base is always the version in force, so that a past file can be applied again as it is. */
+/** Sets the base to the version in force, so that a past version can be applied again without edits. */
 function reportFile (document: ConfigurationFile, inForce: number): Report {
   const file = { ...document, editedFrom: inForce }
   return { exitCode: ExitCode.Done, lines: JSON.stringify(file, undefined, 2).split('\n'), json: file }
 }
 
-/** The command. */
+/** The `get` command. */
 export const get: Command = {
   usage: 'get [past]',
   summary: 'Print the configuration in force, or a past version, for editing',
   options: STORE_OPTIONS,
-  positionals: { past: { describe: 'A past version; the one in force when absent', type: 'number' } },
+  positionals: { past: { describe: 'A past version; by default the one in force', type: 'number' } },
   examples: [
-    ['$0 get > configuration.json', 'edit what is in force'],
-    ['$0 get 7 > configuration.json', 'go back to what version 7 said, as a new version']
+    ['$0 get > configuration.json', 'edit the configuration in force'],
+    ['$0 get 7 > configuration.json', 'restore the content of version 7 as a new version']
   ],
   run: (context, options) => new ResultAsync(getFile(context, options))
 }
--- a/packages/cli/src/history.ts
+++ b/packages/cli/src/history.ts
@@ -1,4 +1,4 @@
-/** `history`: the last versions and what each changed. */
+/** `history`: lists the latest versions and their changes. */
 import type { StoredConfiguration } from '@amaranthmast/settings/configurationfile'
 import type { Change } from '@amaranthmast/settings/difference'
 import { differenceOf, formatChanges } from '@amaranthmast/settings/difference'
@@ -10,7 +10,7 @@
 import { ExitCode } from './exitcodes.ts'
 import { STORE_OPTIONS } from './options.ts'
 
-/** One version; `changes` is undefined when the version before it is not kept. */
+/** Version in the history; `changes` is undefined if the previous version is not kept. */
 interface HistoryEntry {
   version: number
   appliedAt: string
@@ -32,10 +32,10 @@
   return ok(reportHistory(kept.slice(0, -1).flatMap((stored, index) => stored === undefined ? [] : [entryOf(stored, kept[index + 1])])))
 }
 
-function entryOf (stored: StoredConfiguration, before: StoredConfiguration | undefined): HistoryEntry {
+function entryOf (stored: StoredConfiguration, previous: StoredConfiguration | undefined): HistoryEntry {
   const { version, appliedAt, applyId } = stored
   const isFirst = version === 1
-  const changes = before === undefined && !isFirst ? undefined : differenceOf(before?.document, stored.document)
+  const changes = previous === undefined && !isFirst ? undefined : differenceOf(previous?.document, stored.document)
   return { version, appliedAt, applyId, changes }
 }
 
@@ -46,17 +46,17 @@
 
 function describeEntry ({ version, appliedAt, applyId, changes }: HistoryEntry): string[] {
   const head = `version ${version}  ${appliedAt}  apply ${applyId}`
-  if (changes === undefined) return [head, '  (the version before is not kept)']
+  if (changes === undefined) return [head, '  (the previous version is not kept)']
   if (changes.length === 0) return [head, '  (no change)']
   return [head, ...formatChanges(changes).map((line) => `  ${line}`)]
 }
 
-/** The command. */
+/** The `history` command. */
 export const history: Command = {
   usage: 'history',
-  summary: 'List the last versions and what each changed',
+  summary: 'List the latest versions and their changes',
   options: [...STORE_OPTIONS, 'limit'],
   positionals: {},
-  examples: [['$0 history --limit 5', 'the last five versions']],
+  examples: [['$0 history --limit 5', 'the latest five versions']],
   run: (context, options) => new ResultAsync(listHistory(context, options))
 }
--- a/packages/cli/src/instances.ts
+++ b/packages/cli/src/instances.ts
@@ -1,7 +1,7 @@
 /**
- * Which daemons are asked for their status. Either the addresses given by `--status`, or, when none
- * is given, those of the entries of the view: each entry publishes the address of its status port
- * under the key of `instanceKey`. Agents are known from the entries that they are linked to.
+ * Queries the status ports of the daemons. The addresses are those given with `--status` or, by default, those of
+ * the entries in the view: each entry publishes the address of its status port under the key of `instanceKey`.
+ * The status pages of the entries list the agents linked to them.
  */
 import type { View } from '@amaranthmast/coordination/messages'
 import type { KeyValueClient } from '@amaranthmast/store/client'
@@ -9,28 +9,28 @@
 import { instancePrefix, viewKey } from '@amaranthmast/settings/storekeys'
 import type { Result } from 'neverthrow'
 import { err, ok } from 'neverthrow'
-import { PUBLISHED_LIMIT, STATUS_REQUESTS } from './defaults.ts'
+import { MAX_PUBLISHED_INSTANCES, MAX_CONCURRENT_STATUS_REQUESTS } from './defaults.ts'
 import { StoreFailed } from './errors.ts'
-import type { Asked, StatusClient } from './statuspage.ts'
-import { askStatus } from './statuspage.ts'
+import type { StatusResponse, StatusClient } from './statuspage.ts'
+import { requestStatus } from './statuspage.ts'
 
-/** What the daemons said. */
+/** Responses of the daemons. */
 export interface Survey {
-  asked: Asked[]
-  /** Members of the view for which no status address is known. */
+  asked: StatusResponse[]
+  /** Members of the view without a published status address. */
   unpublished: string[]
 }
 
-/** Where the addresses come from. */
+/** Options of `Instances`. */
 export interface InstancesOptions {
   client: Pick<KeyValueClient, 'read' | 'readPrefix'>
   prefix: string
-  /** Addresses given by the user; none to take those in the store. */
+  /** Addresses given with `--status`; if empty, the published addresses are used. */
   statusUrls: readonly string[]
   ask: StatusClient
 }
 
-/** The daemons of the system. */
+/** Client for the status ports of all daemons. */
 export class Instances {
   readonly #options: InstancesOptions
 
@@ -38,7 +38,7 @@
     this.#options = options
   }
 
-  /** Asks every known daemon. Fails when the addresses are in the store and it does not answer. */
+  /** Queries every known daemon. Fails if the published addresses are needed and the store does not answer. */
   async survey (): Promise<Result<Survey, StoreFailed>> {
     const { statusUrls } = this.#options
     if (statusUrls.length > 0) return ok({ asked: await this.#askAll(statusUrls), unpublished: [] })
@@ -48,7 +48,7 @@
     return ok({ asked: await this.#askAll(urls), unpublished })
   }
 
-  /** Asks one daemon for its metrics; undefined when it does not answer. */
+  /** Fetches the metrics of one daemon; undefined if it does not answer. */
   async metrics (url: string): Promise<string | undefined> {
     const answer = await this.#options.ask(url, '/metrics')
     return 'text' in answer ? answer.text : undefined
@@ -58,7 +58,7 @@
     const { client, prefix } = this.#options
     const view = await client.read(viewKey(prefix))
     if (view.isErr()) return err(new StoreFailed(view.error))
-    const published = await client.readPrefix(instancePrefix(prefix), PUBLISHED_LIMIT)
+    const published = await client.readPrefix(instancePrefix(prefix), MAX_PUBLISHED_INSTANCES)
     if (published.isErr()) return err(new StoreFailed(published.error))
     const members = membersOf(view.value.entry?.value)
     const addresses = new Map(published.value.entries.flatMap(({ value }) => addressOf(value)))
@@ -68,12 +68,12 @@
     })
   }
 
-  /** A few at a time: a tool has no right to more connections than a daemon. */
-  async #askAll (urls: readonly string[]): Promise<Asked[]> {
-    const asked: Asked[] = []
-    for (let start = 0; start < urls.length; start += STATUS_REQUESTS) {
-      const some = urls.slice(start, start + STATUS_REQUESTS)
-      asked.push(...await Promise.all(some.map((url) => askStatus(this.#options.ask, url))))
+  /** Queries the daemons in batches, so that the tool opens no more connections than a daemon does. */
+  async #askAll (urls: readonly string[]): Promise<StatusResponse[]> {
+    const asked: StatusResponse[] = []
+    for (let start = 0; start < urls.length; start += MAX_CONCURRENT_STATUS_REQUESTS) {
+      const batch = urls.slice(start, start + MAX_CONCURRENT_STATUS_REQUESTS)
+      asked.push(...await Promise.all(batch.map((url) => requestStatus(this.#options.ask, url))))
     }
     return asked
   }
--- a/packages/cli/src/logfiles.ts
+++ b/packages/cli/src/logfiles.ts
@@ -1,27 +1,27 @@
-/** Logs as files, read line by line: a fleet's logs are larger than memory. */
+/** Reads log files line by line, since the logs of a fleet may be larger than memory. */
 import type { LogLine } from '@amaranthmast/logs/logline'
 import { parseLogLine } from '@amaranthmast/logs/logline'
 import { ResultAsync } from 'neverthrow'
 import type { Context } from './command.ts'
 import { LogUnreadable } from './errors.ts'
 
-/** Lines that could not be read, by file. */
-export type Unreadable = Record<string, number>
+/** Number of lines that could not be parsed, by file. */
+export type UnreadableCounts = Record<string, number>
 
-/** Hands every line of every file to `take`, in the order of the files. */
-export function readLogs (context: Context, paths: readonly string[], take: (line: LogLine) => void): ResultAsync<Unreadable, LogUnreadable> {
-  return ResultAsync.fromPromise(readAll(context, paths, take), error => error as LogUnreadable)
+/** Passes every log line of every file to `handleLine`, in the order of the files. */
+export function readLogs (context: Context, paths: readonly string[], handleLine: (line: LogLine) => void): ResultAsync<UnreadableCounts, LogUnreadable> {
+  return ResultAsync.fromPromise(readAll(context, paths, handleLine), error => error as LogUnreadable)
 }
 
-async function readAll (context: Context, paths: readonly string[], take: (line: LogLine) => void): Promise<Unreadable> {
-  const unreadable: Unreadable = {}
+async function readAll (context: Context, paths: readonly string[], handleLine: (line: LogLine) => void): Promise<UnreadableCounts> {
+  const unreadable: UnreadableCounts = {}
   for (const path of paths) {
     try {
       for await (const text of context.readLines(path)) {
         if (text.trim() === '') continue
         const line = parseLogLine(text)
         if (line === undefined) unreadable[path] = (unreadable[path] ?? 0) + 1
-        else take(line)
+        else handleLine(line)
       }
     } catch (error) {
       throw new LogUnreadable(path, error as Error)
@@ -30,7 +30,7 @@
   return unreadable
 }
 
-/** One line a file with lines that are not of ours. */
-export function describeUnreadable (unreadable: Unreadable): string[] {
+/** Describes each file that has lines that are not log lines of amaranthmast. */
+export function describeUnreadable (unreadable: UnreadableCounts): string[] {
   return Object.entries(unreadable).map(([path, count]) => `${path}: ${count} lines that are not log lines of amaranthmast`)
 }
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -1,4 +1,4 @@
-/** `losses LOG...`: which jobs were late, refused or failed, when, and why. */
+/** `losses LOG...`: counts the jobs that were late, refused or failed, with their times and causes. */
 import type { Tallied } from '@amaranthmast/logs/tally'
 import { Losses } from '@amaranthmast/logs/losses'
 import { Tally } from '@amaranthmast/logs/tally'
@@ -7,10 +7,10 @@
 import { describeUnreadable, readLogs } from './logfiles.ts'
 import { formatTable } from './table.ts'
 
-/** Rows of a table for a person; a script gets all. */
-const ROWS = 12
+/** Maximum number of rows in a text table; the JSON output has all. */
+const MAX_TABLE_ROWS = 12
 
-/** The command. */
+/** The `losses` command. */
 export const losses: Command = {
   usage: 'losses <logs..>',
   summary: 'Count the jobs that were late, refused or failed, by cause, second, entry and agent',
@@ -30,7 +30,7 @@
 function report (tally: Tally, inTime: number): string[] {
   return [
     `${inTime} jobs in time, ${tally.total} not.`,
-    ...formatTable(['cause', 'jobs', 'for example'], tally.byCause.slice(0, ROWS).map(({ key, count, examples }) => [key, String(count), examples.join(' ')])),
+    ...formatTable(['cause', 'jobs', 'for example'], tally.byCause.slice(0, MAX_TABLE_ROWS).map(({ key, count, examples }) => [key, String(count), examples.join(' ')])),
     ...section('second', tally.bySecond),
     ...section('entry', tally.byEntry),
     ...section('agent at which tasks came to nothing', tally.byAgent)
@@ -39,6 +39,6 @@
 
 function section (heading: string, rows: readonly Tallied[]): string[] {
   if (rows.length === 0) return []
-  const left = rows.length - ROWS
-  return ['', ...formatTable([heading, 'jobs'], rows.slice(0, ROWS).map(({ key, count }) => [key, String(count)])), ...(left > 0 ? [`and ${left} more, see --json`] : [])]
+  const hiddenRows = rows.length - MAX_TABLE_ROWS
+  return ['', ...formatTable([heading, 'jobs'], rows.slice(0, MAX_TABLE_ROWS).map(({ key, count }) => [key, String(count)])), ...(hiddenRows > 0 ? [`and ${hiddenRows} more, see --json`] : [])]
 }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** Start of the tool. */
+/** Entry point of the command-line tool. */
 import { openContext } from './context.ts'
 import { runProgram } from './program.ts'
 
--- a/packages/cli/src/plan.ts
+++ b/packages/cli/src/plan.ts
@@ -1,10 +1,10 @@
-/** `plan FILE`: what an apply would change, without writing anything. */
+/** `plan FILE`: shows what an apply would change, without writing anything. */
 import { warningsOf } from '@amaranthmast/settings/configurationfile'
 import type { ConfigurationFile } from '@amaranthmast/settings/configurationfile'
 import { differenceOf, formatChanges } from '@amaranthmast/settings/difference'
 import type { Result } from 'neverthrow'
 import { err, ok, ResultAsync } from 'neverthrow'
-import { raceLost, readBase } from './applying.ts'
+import { createRaceLost, readBase } from './applying.ts'
 import { readFile } from './check.ts'
 import type { Arguments, Command, Context, Report } from './command.ts'
 import type { CurrentConfiguration } from './configurationstore.ts'
@@ -12,7 +12,7 @@
 import type { ToolError } from './errors.ts'
 import { ExitCode } from './exitcodes.ts'
 import { STORE_OPTIONS } from './options.ts'
-import { counted } from './table.ts'
+import { formatCount } from './table.ts'
 
 async function planFile (context: Context, { file }: Arguments): Promise<Result<Report, ToolError>> {
   const document = readFile(context, file)
@@ -21,7 +21,7 @@
   if (base.isErr()) return err(base.error)
   const { stored } = base.value
   const { editedFrom } = document.value
-  if (stored !== undefined && stored.version !== editedFrom) return err(await raceLost(context, editedFrom, stored))
+  if (stored !== undefined && stored.version !== editedFrom) return err(await createRaceLost(context, editedFrom, stored))
   return ok(reportPlan(base.value, document.value))
 }
 
@@ -31,7 +31,7 @@
   const warnings = warningsOf(document)
   const head = changes.length === 0
     ? `Nothing to change: version ${version} holds exactly this.`
-    : `${counted(changes.length, 'change')} to version ${version}; apply would make version ${version + 1}:`
+    : `${formatCount(changes.length, 'change')} to version ${version}; apply would make version ${version + 1}:`
   return {
     exitCode: ExitCode.Done,
     lines: [head, ...formatChanges(changes).map((line) => `  ${line}`), ...warnings.map((warning) => `warning: ${warning}`)],
@@ -39,12 +39,12 @@
   }
 }
 
-/** The command. */
+/** The `plan` command. */
 export const plan: Command = {
   usage: 'plan <file>',
   summary: 'Show what an apply would change; writes nothing',
   options: STORE_OPTIONS,
   positionals: { file: { describe: 'The configuration file', type: 'string' } },
-  examples: [['$0 plan configuration.json', 'see each change before it is applied']],
+  examples: [['$0 plan configuration.json', 'review each change before applying it']],
   run: (context, options) => new ResultAsync(planFile(context, options))
 }
--- a/packages/cli/src/statuspage.ts
+++ b/packages/cli/src/statuspage.ts
@@ -1,31 +1,31 @@
-/** What a daemon's status port says, and how it is asked. */
+/** Status page of a daemon and the client that fetches it. */
 import type { TargetDescription, View } from '@amaranthmast/coordination/messages'
 import { request } from 'undici'
 import { STATUS_TIMEOUT_MILLISECONDS } from './defaults.ts'
 
-/** Quantiles of one measure, in milliseconds. */
-export interface Figures {
+/** Number of samples and quantiles of one measure, in milliseconds; of `ratio` without a unit. */
+export interface Quantiles {
   count: number
   p50: number
   p99: number
 }
 
-/** Figures of the work of one tenant for one service at one entry. */
+/** Measures of the jobs of one tenant and service at one entry. */
 export interface WorkClass {
   tenant: string
   service: string
-  measures: { wait?: Figures, run?: Figures, whole?: Figures, ratio?: Figures }
+  measures: { wait?: Quantiles, run?: Quantiles, whole?: Quantiles, ratio?: Quantiles }
 }
 
-/** An agent as an entry sees it. */
-export interface AgentLine {
+/** Agent as reported by an entry. */
+export interface AgentSummary {
   instance: string
   target: string
   provider: string
   connected: boolean
 }
 
-/** Answer to `/status`. What a role or a version of the daemon does not have is empty. */
+/** Response to `/status`. Fields that a role or a version of the daemon does not have are empty. */
 export interface StatusPage {
   instance: string
   role: string
@@ -33,10 +33,10 @@
   dataCentre: string
   view: View
   configurationVersion: number
-  /** Linked instances that have not stated this version or a later one; empty at an agent. */
+  /** Linked instances that have not reported this version or a later one; empty at an agent. */
   configurationBehind: string[]
-  /** Agents that an entry knows; empty at an agent. */
-  agents: AgentLine[]
+  /** Agents known to an entry; empty at an agent. */
+  agents: AgentSummary[]
   /** The target beside an agent; undefined at an entry. */
   target: TargetDescription | undefined
   scheduler: {
@@ -44,11 +44,11 @@
     outstanding: number
     /** By service, then provider: tasks dispatched since the entry started. */
     dispatched: Record<string, Record<string, number>>
-    /** By target: 0 when ejected, 1 when fully trusted. */
+    /** Health by target, from 0 (ejected) to 1 (fully trusted). */
     health: Record<string, number>
   }
   classes: WorkClass[]
-  /** Tasks running at an agent. */
+  /** Number of tasks running at an agent. */
   running: number
 }
 
@@ -67,16 +67,16 @@
   running: 0
 }
 
-/** One daemon that was asked. */
-export type Asked =
+/** Outcome of querying one daemon. */
+export type StatusResponse =
   | { url: string, page: StatusPage }
-  /** It did not answer, or not with a status; `reason` says which. */
+  /** The daemon did not answer, or not with a status page; `reason` states which. */
   | { url: string, page: undefined, reason: string }
 
-/** Asks a status port for a page; never rejects. */
+/** Fetches a page from a status port; never rejects. */
 export type StatusClient = (url: string, path: '/status' | '/metrics') => Promise<{ text: string } | { failure: string }>
 
-/** Asks over HTTP. */
+/** Fetches a page over HTTP. */
 export async function requestPage (url: string, path: '/status' | '/metrics'): Promise<{ text: string } | { failure: string }> {
   try {
     const signal = AbortSignal.timeout(STATUS_TIMEOUT_MILLISECONDS)
@@ -89,15 +89,15 @@
   }
 }
 
-/** Asks one daemon for its status. */
-export async function askStatus (client: StatusClient, url: string): Promise<Asked> {
+/** Fetches the status page of one daemon. */
+export async function requestStatus (client: StatusClient, url: string): Promise<StatusResponse> {
   const answer = await client(url, '/status')
   if ('failure' in answer) return { url, page: undefined, reason: answer.failure }
   const page = parseStatusPage(answer.text)
   return page === undefined ? { url, page, reason: 'not a status page' } : { url, page }
 }
 
-/** Reads a status page; undefined when the text is none. Fields that are missing are empty. */
+/** Parses a status page; undefined if the text is not one. Missing fields are empty. */
 export function parseStatusPage (text: string): StatusPage | undefined {
   try {
     const parsed = JSON.parse(text) as Partial<StatusPage> | null
--- a/packages/cli/test/apply.test.ts
+++ b/packages/cli/test/apply.test.ts
@@ -1,4 +1,4 @@
-/** Applying a file: accepted once or refused whole, whatever happens to races, answers and the store. */
+/** `apply`: a file is accepted once or refused as a whole, in spite of races, lost answers and outages of the store. */
 import { test } from 'node:test'
 import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { StoreTimedOut } from '@amaranthmast/store/errors'
@@ -24,7 +24,7 @@
   expect(past).toEqual(configuration)
 })
 
-test('a file that is in force already writes nothing', async (context) => {
+test('a file identical to the configuration in force is not written', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   const { revision } = store
@@ -34,9 +34,9 @@
   expect(store.revision).toEqual(revision)
 })
 
-// Two operators edit version 1 in the same minute. The second apply would undo what the first has
-// changed, and nobody would know until the shares are seen to be off.
-test('the loser of a race is told what changed since its base', async (context) => {
+// Two operators edit version 1 concurrently. Without the check of the base the second apply would
+// silently revert the changes of the first.
+test('the loser of a race gets the changes since its base', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   await tool.apply(fileWith(1, 20))
@@ -53,9 +53,9 @@
   expect(store.revision).toEqual(revision)
 })
 
-// Both operators pass the check of the base before either has written. Only the comparison in the
-// store can tell them apart then.
-test('applies at the same instant: one wins', async (context) => {
+// Both operators pass the check of the base before either has written. Only the compare-and-swap in
+// the store decides the race.
+test('one of two simultaneous applies wins', async (context) => {
   const { tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   tool.files.one = fileWith(1, 20)
@@ -66,10 +66,10 @@
   expect((await tool.stored()).configuration?.version).toEqual(2)
 })
 
-// The store takes the write and its answer is lost. An operator who is told of a failure applies
-// again, and one who is told nothing does not know which shares are in force.
+// The store applies the write and its answer is lost. If the tool reported a failure, the operator
+// would apply again; without a result the operator does not know which shares are in force.
 for (const loseAnswersBy of Object.values(LostAnswer)) {
-  test(`an answer that is lost once is settled, ${loseAnswersBy}`, async (context) => {
+  test(`the outcome of an apply is settled after one lost answer, ${loseAnswersBy}`, async (context) => {
     const { store, tool } = await startTool(context)
     await tool.apply(fileWith(0, 60))
     await store.setFaults({ loseAnswers: 1, loseAnswersBy })
@@ -82,7 +82,7 @@
 }
 
 /** Replaces the outcome of the next write to the configuration. */
-function interceptWrite (tool: Tool, outcome: (send: () => ReturnType<Swap>) => ReturnType<Swap>): void {
+function interceptWrite (tool: Tool, outcome: (send: () => ReturnType<CompareAndSwap>) => ReturnType<CompareAndSwap>): void {
   const { client } = tool
   tool.configurationClient = {
     read: (key) => client.read(key),
@@ -94,37 +94,37 @@
   }
 }
 
-type Swap = Tool['client']['compareAndSwap']
+type CompareAndSwap = Tool['client']['compareAndSwap']
 
-/** The error, after something else has happened. */
-function meanwhileThen<E> (meanwhile: () => Promise<unknown>, error: E): ResultAsync<never, E> {
-  return ResultAsync.fromSafePromise(meanwhile()).andThen(() => errAsync(error))
+/** Fails with the error after another operation has completed. */
+function failAfter<E> (sideEffect: () => Promise<unknown>, error: E): ResultAsync<never, E> {
+  return ResultAsync.fromSafePromise(sideEffect()).andThen(() => errAsync(error))
 }
 
-// The write takes effect and its answer is lost; before the tool asks again, another operator has
-// applied on top of it. The key no longer holds this apply, only the history does: without it the
-// tool would tell that the race was lost, though the apply was in force.
-test('an apply that a later one has replaced is known by its history', async (context) => {
+// The write takes effect and its answer is lost. Before the tool retries, another operator applies
+// a later version, so that only the history holds this apply. Without the history the tool would
+// report a lost race although the apply took effect.
+test('an apply that a later one has replaced is found in the history', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   await store.setFaults({ loseAnswers: 1 })
-  interceptWrite(tool, (send) => send().orElse((error) => meanwhileThen(() => tool.apply(fileWith(2, 80)), error)))
+  interceptWrite(tool, (send) => send().orElse((error) => failAfter(() => tool.apply(fileWith(2, 80)), error)))
   const outcome = await tool.apply(fileWith(1, 20))
   expect(outcome.exitCode).toEqual(ExitCode.Done)
   expect(textOf(outcome)).toInclude('Version 2 is accepted (apply apply-2).')
   expect(textOf(outcome)).toInclude('A later apply has replaced it since: version 3 is in force.')
 })
 
-// The write is lost on the way, so it never takes effect, and others apply meanwhile. The tool must
-// not claim one of theirs for its own.
+// The write is lost in transit and never takes effect, while others apply. The tool must not
+// report one of their versions as its own.
 for (const others of [1, 2]) {
-  test(`a write lost on the way loses the race to ${others} others`, async (context) => {
+  test(`a write lost in transit loses the race to ${others} others`, async (context) => {
     const { tool } = await startTool(context)
     await tool.apply(fileWith(0, 60))
     const applyOthers = async () => {
       for (let base = 1; base <= others; base++) await tool.apply(fileWith(base, 10 * base))
     }
-    interceptWrite(tool, () => meanwhileThen(applyOthers, new StoreTimedOut('lost on the way', true)))
+    interceptWrite(tool, () => failAfter(applyOthers, new StoreTimedOut('lost on the way', true)))
     const outcome = await tool.apply(fileWith(1, 90))
     expect(outcome).toBeA(RaceLost)
     expect((await tool.stored()).configuration?.version).toEqual(1 + others)
@@ -132,7 +132,7 @@
 }
 
 for (const outage of [Outage.Refuse, Outage.Hang, Outage.NoLeader]) {
-  test(`a store that is down changes nothing, ${outage}`, async (context) => {
+  test(`an apply during an outage changes nothing, ${outage}`, async (context) => {
     const { store, tool } = await startTool(context)
     await tool.apply(fileWith(0, 60))
     await store.setFaults({ outage })
@@ -154,13 +154,13 @@
   expect((await tool.stored()).configuration?.version).toEqual(1)
 })
 
-// The store goes down right after it took the write. Neither success nor failure can be told
-// truthfully: the tool must say so, and the same file applied later must not be written twice.
-test('an outage right after the write leaves the outcome open', async (context) => {
+// The store goes down right after it applied the write, so neither success nor failure is certain.
+// The tool must report the outcome as unknown, and a later apply of the same file must not write twice.
+test('an outage right after the write leaves the outcome unknown', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   await store.setFaults({ loseAnswers: 1 })
-  interceptWrite(tool, (send) => send().orElse((error) => meanwhileThen(() => store.setFaults({ outage: Outage.Refuse }), error)))
+  interceptWrite(tool, (send) => send().orElse((error) => failAfter(() => store.setFaults({ outage: Outage.Refuse }), error)))
   const outcome = await tool.apply(fileWith(1, 20))
   expect(outcome.exitCode).toEqual(ExitCode.Unsettled)
   expect(textOf(outcome)).toInclude('may have taken effect as version 2')
@@ -168,9 +168,9 @@
   expect(textOf(await tool.apply(fileWith(1, 20)))).toEqual('Version 2 holds exactly this already: nothing was written.')
 })
 
-// A replica that lags answers the read of the base with an older version than the operator has
-// edited. Taking it for the truth tells the operator of a race that never was.
-test('a stale answer is not taken for a lost race', async (context) => {
+// A lagging replica answers the read of the base with a version older than the one that was
+// edited. Trusting it would report a lost race that did not happen.
+test('a stale answer is not reported as a lost race', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
   await tool.apply(fileWith(1, 20))
@@ -180,8 +180,8 @@
   expect(textOf(outcome)).toInclude('Its answer is stale, or it was restored from a copy')
 })
 
-// The base read is stale by one version and happens to be the one that the file was edited from.
-// The comparison in the store still refuses the write.
+// The base read is stale by one version, which is the one that the file was edited from. The
+// compare-and-swap in the store still refuses the write.
 test('a stale base is refused by the store', async (context) => {
   const { store, tool } = await startTool(context)
   await tool.apply(fileWith(0, 60))
@@ -194,15 +194,15 @@
 
 const TENANTS = Object.fromEntries(Array.from({ length: 16_000 }, (_, index) => [`tenant-${index}`, {}]))
 
-const BAD_FILES: Array<{ story: string, content: unknown, text: string, options?: Partial<Arguments> }> = [
-  { story: 'a missing file', content: '', text: 'cannot read g (ENOENT)', options: { file: 'g' } },
-  { story: 'a file that is not JSON', content: '{', text: 'f is refused:\n  (document): is not JSON' },
-  { story: 'a file with faults', content: { ...fileWith(0, 60), share: 1 }, text: '  share: is an unknown field' },
-  { story: 'a file above the limit', content: { ...fileWith(0, 60), tenants: TENANTS }, text: 'the key-value service holds 1048576 at most' }
+const BAD_FILES: Array<{ title: string, content: unknown, text: string, options?: Partial<Arguments> }> = [
+  { title: 'a missing file', content: '', text: 'cannot read g (ENOENT)', options: { file: 'g' } },
+  { title: 'a file that is not JSON', content: '{', text: 'f is refused:\n  (document): is not JSON' },
+  { title: 'a file with invalid fields', content: { ...fileWith(0, 60), share: 1 }, text: '  share: is an unknown field' },
+  { title: 'a file above the limit', content: { ...fileWith(0, 60), tenants: TENANTS }, text: 'the key-value service holds 1048576 at most' }
 ]
 
-for (const { story, content, text, options } of BAD_FILES) {
-  test(`refused before anything is sent: ${story}`, async (context) => {
+for (const { title, content, text, options } of BAD_FILES) {
+  test(`refused before any request to the store: ${title}`, async (context) => {
     const { store, tool } = await startTool(context)
     const outcome = await tool.apply(content, options)
     expect(outcome.exitCode).toEqual(ExitCode.BadInput)
--- a/packages/cli/test/commands.test.ts
+++ b/packages/cli/test/commands.test.ts
@@ -1,4 +1,4 @@
-/** The commands beside apply: what they show, and what they write. */
+/** Output and writes of the commands other than `apply`. */
 import { test } from 'node:test'
 import type { TestContext } from 'node:test'
 import type { View } from '@amaranthmast/coordination/messages'
@@ -9,14 +9,14 @@
 import type { StatusPage } from '../src/statuspage.ts'
 import { fileWith, linesOf, pageOf, startTool } from './toolcontext.ts'
 
-/** A store with version 1 of a configuration, and a tool on it. */
+/** Starts a store with version 1 of a configuration and a tool that uses it. */
 async function start (context: TestContext): ReturnType<typeof startTool> {
   const started = await startTool(context)
   await started.tool.apply(fileWith(0, 60))
   return started
 }
 
-test('check names what a file holds', async (context) => {
+test('check summarizes the content of a file', async (context) => {
   const { tool } = await start(context)
   const outcome = await tool.run('check', { file: 'f' })
   expect(linesOf(outcome)).toEqual(['f is valid: 1 service, 2 providers, 0 tenants, edited from version 0.'])
@@ -40,14 +40,14 @@
   expect((await tool.run('plan')).exitCode).toEqual(ExitCode.Refused)
 })
 
-test('what get prints can be applied as it is', async (context) => {
+test('the output of get can be applied', async (context) => {
   const { tool } = await start(context)
   const printed = linesOf(await tool.run('get')).join('\n')
   expect(JSON.parse(printed)).toLooseEqual(expect.subset({ editedFrom: 1 }))
   expect((await tool.apply(printed.replace('60', '50').replace('40', '50'))).exitCode).toEqual(ExitCode.Done)
 })
 
-test('a past version comes back as a new one', async (context) => {
+test('a past version can be restored as a new one', async (context) => {
   const { tool } = await start(context)
   await tool.apply(fileWith(1, 20))
   const printed = linesOf(await tool.run('get', { past: 1 })).join('\n')
@@ -59,7 +59,7 @@
   ])
 })
 
-test('history tells what each version changed', async (context) => {
+test('history lists the changes of each version', async (context) => {
   const { tool } = await start(context)
   await tool.apply(fileWith(1, 20))
   await tool.run('drain', { kind: DrainKind.Rack, name: 'r1' })
@@ -93,9 +93,9 @@
   expect(linesOf(outcome)).toEqual(['Version 3 is accepted (apply apply-3).', '  ! end the drain of rack r1: it receives work again'])
 })
 
-// An operator drains a rack that is on fire while another applies a file. A drain that is refused
-// for the race costs the minutes in which the rack goes on receiving work.
-test('a drain that loses a race is made again on the winner', async (context) => {
+// An operator drains a failing rack while another applies a file. If the drain were refused because
+// of the lost race, the rack would keep receiving work until the operator retries.
+test('a drain that loses a race is retried on the winning version', async (context) => {
   const { tool } = await start(context)
   const outcomes = await Promise.all(['r1', 'r2', 'r3'].map((name) => tool.run('drain', { kind: DrainKind.Rack, name })))
   expect(outcomes.map(({ exitCode }) => exitCode)).toEqual([ExitCode.Done, ExitCode.Done, ExitCode.Done])
@@ -110,7 +110,7 @@
 }
 
 interface WaitCase {
-  story: string
+  title: string
   pages: Record<string, Partial<StatusPage>>
   exitCode: ExitCode
   line: string
@@ -118,37 +118,37 @@
 
 const WAITS: WaitCase[] = [
   {
-    story: 'all confirm',
+    title: 'all instances confirm',
     pages: { 'http://a': pageOf('entry-1#1', 2, { agents: [AGENT] }), 'http://b': pageOf('entry-2#1', 2) },
     exitCode: ExitCode.Done,
     line: 'version 2 is in force on 3 of 3 instances'
   },
   {
-    story: 'an entry lags',
+    title: 'an entry lags',
     pages: { 'http://a': pageOf('entry-1#1', 2), 'http://b': pageOf('entry-2#1', 1) },
     exitCode: ExitCode.WaitTimedOut,
     line: 'version 2 is in force on 1 of 2 instances; behind: entry-2#1 (version 1)'
   },
   {
-    story: 'an agent lags',
+    title: 'an agent lags',
     pages: { 'http://a': pageOf('entry-1#1', 2, { agents: [AGENT], configurationBehind: ['agent-1#1'] }) },
     exitCode: ExitCode.WaitTimedOut,
     line: 'version 2 is in force on 1 of 2 instances; behind: agent-1#1 (behind version 2)'
   },
   {
-    story: 'an agent is level with an entry that lags',
+    title: 'an agent has the same version as a lagging entry',
     pages: { 'http://a': pageOf('entry-1#1', 1, { agents: [AGENT] }) },
     exitCode: ExitCode.WaitTimedOut,
     line: 'version 2 is in force on 0 of 2 instances; behind: entry-1#1 (version 1), agent-1#1 (version 1)'
   },
   {
-    story: 'an agent that is gone does not count',
+    title: 'a disconnected agent does not count',
     pages: { 'http://a': pageOf('entry-1#1', 2, { agents: [{ ...AGENT, connected: false }] }) },
     exitCode: ExitCode.Done,
     line: 'version 2 is in force on 1 of 1 instance'
   },
   {
-    story: 'another entry states an agent ahead',
+    title: 'another entry reports a later version of the agent',
     pages: {
       'http://a': pageOf('entry-1#1', 2, { agents: [AGENT], configurationBehind: ['agent-1#1'] }),
       'http://b': pageOf('entry-2#1', 2, { agents: [AGENT] })
@@ -157,21 +157,21 @@
     line: 'version 2 is in force on 3 of 3 instances'
   },
   {
-    story: 'many lag',
+    title: 'many instances lag',
     pages: { 'http://a': pageOf('entry-1#1', 1, { agents: Array.from({ length: 6 }, (_, index) => ({ ...AGENT, instance: `agent-${index}#1` })) }) },
     exitCode: ExitCode.WaitTimedOut,
     line: 'version 2 is in force on 0 of 7 instances; behind: entry-1#1 (version 1), agent-0#1 (version 1), agent-1#1 (version 1), agent-2#1 (version 1), agent-3#1 (version 1) and 2 more'
   },
   {
-    story: 'a member was not asked',
+    title: 'a member was not queried',
     pages: { 'http://a': pageOf('entry-1#1', 2, { view: viewOf(['entry-1#1', 'entry-3#1', 'entry-4#1'], ['entry-4#1']) }) },
     exitCode: ExitCode.WaitTimedOut,
     line: 'version 2 is in force on 1 of 2 instances; behind: entry-3#1 (not asked, name its status address)'
   }
 ]
 
-for (const { story, pages, exitCode, line } of WAITS) {
-  test(`wait: ${story}`, async (context) => {
+for (const { title, pages, exitCode, line } of WAITS) {
+  test(`wait: ${title}`, async (context) => {
     const { tool } = await start(context)
     for (const [url, page] of Object.entries(pages)) tool.pages[url] = () => page
     const outcome = await tool.apply(fileWith(1, 20), { wait: true, status: Object.keys(pages) })
@@ -180,7 +180,7 @@
   })
 }
 
-test('a wait shows each change of the picture', async (context) => {
+test('a wait prints each change of the state', async (context) => {
   const { tool } = await start(context)
   let asked = 0
   tool.pages['http://a'] = () => pageOf('entry-1#1', ++asked < 3 ? 1 : 2)
@@ -193,7 +193,7 @@
   ])
 })
 
-test('without addresses those published for the members are asked', async (context) => {
+test('without addresses the published ones of the members are queried', async (context) => {
   const { tool } = await start(context)
   await tool.client.put('/test/view', JSON.stringify(viewOf(['entry-1#2', 'entry-2#1'], [])))
   await tool.client.put('/test/instances/entry-1', JSON.stringify({ instance: 'entry-1#2', status: 'http://a' }))
@@ -239,7 +239,7 @@
   ])
 })
 
-test('status goes on through an outage of the store', async (context) => {
+test('status works during an outage of the store', async (context) => {
   const { store, tool } = await start(context)
   await store.setFaults({ outage: Outage.NoLeader })
   tool.pages['http://a'] = () => ENTRY_PAGE
@@ -248,7 +248,7 @@
   expect(linesOf(outcome)).toInclude('  entry-1#1  gulf-1       serving     3              1       4        2       1')
 })
 
-test('status names drains and sorts entries', async (context) => {
+test('status lists drains and sorts entries', async (context) => {
   const { tool } = await start(context)
   await tool.run('drain', { kind: DrainKind.Rack, name: 'r1' })
   for (const [url, instance] of [['http://a', 'entry-2#1'], ['http://b', 'entry-1#1']] as const) tool.pages[url] = () => pageOf(instance, 2)
@@ -257,13 +257,13 @@
   expect(lines.slice(lines.indexOf('Draining: these receive no new work'))[1]).toEqual('  rack r1')
 })
 
-test('status before the first apply says how to begin', async (context) => {
+test('status before the first apply explains how to start', async (context) => {
   const { tool } = await startTool(context)
   tool.pages['http://a'] = () => pageOf('entry-1#1', 0)
   expect(linesOf(await tool.run('status', { status: ['http://a'] }))).toInclude('  ! no configuration has been applied, so every job is refused: begin with amaranthmast get > FILE')
 })
 
-test('status without any daemon', async (context) => {
+test('status fails if no daemon answers', async (context) => {
   const { tool } = await start(context)
   const outcome = await tool.run('status', { status: ['http://a'] })
   expect(outcome.exitCode).toEqual(ExitCode.NoStatus)
--- a/packages/cli/test/fleet.test.ts
+++ b/packages/cli/test/fleet.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { ExitCode } from '../src/exitcodes.ts'
-import { fleetPicture } from '../src/fleet.ts'
+import { aggregateSections } from '../src/fleet.ts'
 import { linesOf, startTool } from './toolcontext.ts'
 
 const ONE = `amaranthmast_admission_jobs_total{queue="check",figure="offered"} 12
@@ -18,18 +18,18 @@
 `
 
 function rowsOf (title: string): Array<Record<string, unknown>> {
-  return fleetPicture([ONE, OTHER]).filter(section => section.title.startsWith(title)).flatMap(({ rows }) => rows.map(({ labels, figures }) => ({ ...labels, ...figures })))
+  return aggregateSections([ONE, OTHER]).filter(section => section.title.startsWith(title)).flatMap(({ rows }) => rows.map(({ labels, figures }) => ({ ...labels, ...figures })))
 }
 
 test('jobs of all entries are summed by queue', () => {
   expect(rowsOf('Jobs since')).toEqual([{ queue: 'check', offered: 20, admitted: 10 }, { queue: 'quote', offered: 3 }])
 })
 
-test('what every entry knows of the whole is not counted twice', () => {
+test('values that every entry reports for the whole fleet are not summed', () => {
   expect(rowsOf('Capacity by queue, in')).toEqual([{ queue: 'check', share: 30 }])
 })
 
-test('fleet shows a table for each part that some process tells of', async context => {
+test('fleet shows a table for each metric that some process reports', async context => {
   const { tool } = await startTool(context)
   tool.metrics['http://one'] = ONE
   tool.metrics['http://two'] = OTHER
@@ -38,7 +38,7 @@
   expect(lines.includes('Targets by speed')).toEqual(false)
 })
 
-test('a process that does not answer is named, and without any the command fails', async context => {
+test('fleet names processes that do not answer, and fails if none does', async context => {
   const { tool } = await startTool(context)
   const outcome = await tool.run('fleet', { status: ['http://gone'] })
   expect(linesOf(outcome).at(-1)).toEqual('! http://gone does not answer')
--- a/packages/cli/test/logs.test.ts
+++ b/packages/cli/test/logs.test.ts
@@ -1,11 +1,11 @@
-/** The commands that read a fleet's logs. */
+/** Commands that read the logs of a fleet. */
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { ToolError } from '../src/errors.ts'
 import { ExitCode } from '../src/exitcodes.ts'
 import { linesOf, startTool } from './toolcontext.ts'
 
-/** A line as a process writes it, so many milliseconds after the first. */
+/** Creates a log line of a process, `after` milliseconds after the first one. */
 function line (after: number, process: string, msg: string, fields: object): string {
   return JSON.stringify({ level: 30, time: new Date(1_800_000_000_000 + after).toISOString(), instance: `${process}#r1`, role: 'role', ...fields, msg })
 }
@@ -28,9 +28,9 @@
   line(31, 'agent-1', 'task ended', { task: 'aa.0.1', attempt: 1, outcome: 'gone', cause: 'unanswered' })
 ].join('\n')
 
-// A caller complains that its job was late. Its entry says that a task was placed again, the agent why: the target had not
-// answered the order to start it.
-test('explain tells one job\'s story over all processes', async context => {
+// A job was late. The log of its entry shows that a task was placed again, the log of the agent why: the target did not
+// answer the start.
+test('explain lists the log lines of one job from all processes', async context => {
   const { tool } = await startTool(context)
   Object.assign(tool.files, { entry: ENTRY, agent: AGENT })
   const lines = linesOf(await tool.run('explain', { job: 'aa', logs: ['entry', 'agent'] }))
@@ -45,14 +45,14 @@
   ])
 })
 
-test('explain of a job that no line is about says so', async context => {
+test('explain fails for a job without log lines', async context => {
   const { tool } = await startTool(context)
   Object.assign(tool.files, { entry: ENTRY })
   const outcome = await tool.run('explain', { job: 'zz', logs: ['entry'] })
   expect(outcome.exitCode).toEqual(ExitCode.Refused)
 })
 
-test('losses counts jobs by what became of them and why', async context => {
+test('losses counts jobs by outcome and cause', async context => {
   const { tool } = await startTool(context)
   Object.assign(tool.files, { entry: ENTRY })
   const outcome = await tool.run('losses', { logs: ['entry'] })
@@ -65,7 +65,7 @@
   ])
 })
 
-test('a log that is not there is an error', async context => {
+test('a missing log file is an error', async context => {
   const { tool } = await startTool(context)
   const outcome = await tool.run('losses', { logs: ['nothing'] })
   expect(outcome instanceof ToolError && outcome.code).toEqual('LOG_UNREADABLE')
--- a/packages/cli/test/program.test.ts
+++ b/packages/cli/test/program.test.ts
@@ -1,4 +1,4 @@
-/** The command line: what is understood, what is printed where, and the exit codes. */
+/** Command line: parsing, output streams and exit codes. */
 import { test } from 'node:test'
 import { KeyValueStandIn } from '@amaranthmast/standins/keyvalue'
 import { expect } from 'earl'
@@ -7,7 +7,7 @@
 import { ExitCode } from '../src/exitcodes.ts'
 import { runProgram } from '../src/program.ts'
 
-/** Runs the tool and gathers what it prints. */
+/** Runs the tool and captures its output. */
 async function run (words: string[], environment: Record<string, string> = {}): Promise<{ code: ExitCode, out: string, err: string }> {
   const printed = { out: '', err: '' }
   const output = {
@@ -29,7 +29,7 @@
 ]
 
 for (const { words, text } of REFUSALS) {
-  test(`not understood: ${words.join(' ')}`, async () => {
+  test(`invalid command line: ${words.join(' ')}`, async () => {
     const { code, out, err } = await run(words)
     expect(code).toEqual(ExitCode.BadInput)
     expect(err).toInclude(text)
@@ -38,21 +38,21 @@
 }
 
 for (const name of Object.keys(COMMANDS)) {
-  test(`help of ${name} has every example`, async () => {
+  test(`help of ${name} shows every example`, async () => {
     const { code, out } = await run([name, '--help'])
     expect(code).toEqual(ExitCode.Done)
     for (const [line] of COMMANDS[name]?.examples ?? []) expect(out).toInclude(line.replace('$0', 'amaranthmast'))
   })
 }
 
-test('an error is one JSON object for a script', async () => {
+test('with --json an error is printed as one JSON object', async () => {
   const { code, out, err } = await run(['check', '/nowhere', '--json'])
   expect(code).toEqual(ExitCode.BadInput)
   expect(JSON.parse(out)).toEqual({ error: 'FILE_REFUSED', message: 'cannot read /nowhere (ENOENT): give the path of a file that this user may read' })
   expect(err).toEqual('')
 })
 
-test('the first configuration by the environment and the command line', async (context) => {
+test('get prints an empty configuration, with the store from the environment or an option', async (context) => {
   const store = new KeyValueStandIn()
   await store.start()
   context.after(() => store.stop())
@@ -62,7 +62,7 @@
   expect(JSON.parse(byOption.out)).toEqual({ editedFrom: 0, services: {}, providers: {}, tenants: {}, draining: { targets: [], racks: [], dataCentres: [], providers: [] } })
 })
 
-test('a variable of another command is no fault', async () => {
+test('environment variables of other commands are ignored', async () => {
   const { err } = await run(['check', '/nowhere'], { AMARANTHMAST_STATUS: 'http://127.0.0.1:1', AMARANTHMAST_OTHER: '1' })
   expect(err).toEqual('cannot read /nowhere (ENOENT): give the path of a file that this user may read\n')
 })
--- a/packages/cli/test/toolcontext.ts
+++ b/packages/cli/test/toolcontext.ts
@@ -1,4 +1,4 @@
-/** What the tests of the tool share: a context on the key-value stand-in, with everything else in memory. */
+/** Test fixture of the tool: a context that uses the key-value stand-in and keeps everything else in memory. */
 import type { TestContext } from 'node:test'
 import { KeyValueClient } from '@amaranthmast/store/client'
 import { KeyValueStandIn } from '@amaranthmast/standins/keyvalue'
@@ -18,7 +18,7 @@
   store: [], prefix: PREFIX, json: false, status: [], wait: false, waitSeconds: 1, limit: 20, undo: false, once: true, interval: 1, file: 'f', kind: 'rack' as Arguments['kind'], name: 'r1', job: '', logs: []
 }
 
-/** A store of its own that ends with the test, and a tool on it. */
+/** Starts a store that is stopped after the test, and a tool that uses it. */
 export async function startTool (context: TestContext): Promise<{ store: KeyValueStandIn, tool: Tool }> {
   const store = new KeyValueStandIn()
   await store.start()
@@ -30,12 +30,12 @@
   return { store, tool }
 }
 
-/** What a command prints: its report, or its error. */
+/** Lines that a command prints: its report or its error. */
 export function linesOf (outcome: Report | ToolError): string[] {
   return outcome instanceof ToolError ? outcome.message.split('\n') : outcome.lines
 }
 
-/** A valid file with the share of one of two providers. */
+/** Creates a valid file with two providers, of which the first has the given share. */
 export function fileWith (editedFrom: number, share: number): Record<string, unknown> {
   return {
     editedFrom,
@@ -45,22 +45,22 @@
   }
 }
 
-/** A status page of an entry. */
+/** Creates the status page of an entry. */
 export function pageOf (instance: string, configurationVersion: number, more: Partial<StatusPage> = {}): Partial<StatusPage> {
   return { instance, role: 'entry', state: 'serving', configurationVersion, ...more }
 }
 
-/** Runs commands of the tool; every apply has its own name, `apply-1` and so on. */
+/** Runs commands of the tool. Apply ids are `apply-1`, `apply-2` and so on. */
 export class Tool {
   readonly client: KeyValueClient
   readonly progress: string[] = []
-  /** Contents by path, as objects or as text. */
+  /** File contents by path, as objects or text. */
   readonly files: Record<string, unknown> = {}
-  /** Pages by URL; one that is not here does not answer. */
+  /** Status pages by URL; other URLs do not answer. */
   readonly pages: Record<string, () => Partial<StatusPage>> = {}
-  /** Metrics by URL, of processes without a status page. */
+  /** Metrics by URL, for processes without a status page. */
   readonly metrics: Record<string, string> = {}
-  /** Replaces the store's client for the configuration. */
+  /** Client through which the configuration is read and written; tests replace it. */
   configurationClient: ConfigurationClient
   #applies = 0
   #elapsed = 0
@@ -70,20 +70,20 @@
     this.configurationClient = this.client
   }
 
-  /** Runs a command; the wait of the tool passes at once on its own clock. */
+  /** Runs a command. Its sleeps return immediately and advance a simulated clock. */
   async run (command: string, options: Partial<Arguments> = {}): Promise<Report | ToolError> {
     const result = await COMMANDS[command]?.run(this.#context(options.status ?? []), { ...ARGUMENTS, ...options })
     if (result === undefined) throw new RangeError(`no command ${command}`)
     return result.isOk() ? result.value : result.error
   }
 
-  /** Applies a file that is given as its content. */
+  /** Applies a file with the given content. */
   async apply (content: unknown, options: Partial<Arguments> = {}): Promise<Report | ToolError> {
     this.files.f = content
     return await this.run('apply', { file: 'f', ...options })
   }
 
-  /** Every key that the store holds under the prefix, with its value. */
+  /** Reads all keys and values under the prefix. */
   async stored (): Promise<Record<string, { version: number, applyId: string }>> {
     const read = (await this.client.readPrefix(PREFIX, 100))._unsafeUnwrap()
     return Object.fromEntries(read.entries.map(({ key, value }) => [key.slice(PREFIX.length), JSON.parse(value)]))
@@ -101,7 +101,7 @@
       sleep,
       newApplyId: () => `apply-${++this.#applies}`,
       progress: (line) => this.progress.push(line),
-      picture: () => {}
+      redraw: () => {}
     }
   }
 
--- a/packages/cli/test/top.test.ts
+++ b/packages/cli/test/top.test.ts
@@ -1,4 +1,4 @@
-/** The pictures of top, made of the entries' status pages and metrics. */
+/** Snapshots of `top`, built from the status pages and metrics of the entries. */
 import { test } from 'node:test'
 import { expect } from 'earl'
 import { parseExposition } from '../src/exposition.ts'
@@ -20,27 +20,27 @@
   ].join('\n')
 }
 
-test('counts are summed over entries and causes, quantiles are the highest', () => {
+test('counts are summed over entries and causes, quantiles are their maximum', () => {
   const [line] = classesOf([page(5, 40), page(7, 30)], [metrics(10), metrics(20)], undefined, 0)
   expect(line?.jobs).toEqual({ complete: 30, failed: 0, refused: 6, mayHaveRun: 0 })
   expect(line?.wait).toEqual({ count: 20, p50: 7, p99: 40 })
   expect(line?.rate).toEqual(undefined)
 })
 
-test('the rate is that of the jobs since the picture before', () => {
+test('the rate counts the jobs since the previous snapshot', () => {
   const classes = classesOf([], [metrics(10)], undefined, 1000)
   const [line] = classesOf([], [metrics(30)], { at: 1000, classes, entries: [], silent: [] }, 3000)
   expect(line?.rate).toEqual(10)
 })
 
-// An entry is replaced between two pictures and counts from 0 again: a rate below nothing is shown.
+// An entry is replaced between two snapshots and counts from 0 again. The rate must not become negative.
 test('the rate is unknown after a restart', () => {
   const classes = classesOf([], [metrics(30)], undefined, 1000)
   const [line] = classesOf([], [metrics(10)], { at: 1000, classes, entries: [], silent: [] }, 3000)
   expect(line?.rate).toEqual(undefined)
 })
 
-test('labels with quotes and line breaks are read', () => {
+test('labels with quotes and line breaks are parsed', () => {
   const samples = parseExposition('name{a="x\\"y\\\\z\\n",b="c,d"} 1.5\nother 2\n# name 3').get('name')
   expect(samples).toEqual([{ labels: { a: 'x"y\\z\n', b: 'c,d' }, value: 1.5 }])
 })
