--- a/packages/dispatch/test/nextincarnation.test.ts
+++ b/packages/dispatch/test/nextincarnation.test.ts
@@ -1,7 +1,7 @@
 /** Orders that may reach a new incarnation of a target, which has the name of the previous one and grants its longest lease. */
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { faultNames, runSeed, search, Theme } from '../explore/faults.ts'
+import { faultNames, runSeed, findFirst, Theme } from '../explore/faults.ts'
 import { PollFailure } from '../src/agenttypes.ts'
 import { AgentBench, ENTRY, NEW_ID_EACH_INCARNATION, order, TIMINGS } from './agentbench.ts'
 
@@ -144,7 +144,7 @@
 }
 
 test('orders that reach a new incarnation of a target start no task twice on fresh seeds', () => {
-  expect(search(30_000, 60, Theme.Lateness, { only: 'nextLifeUnstopped' })).toEqual(undefined)
+  expect(findFirst(30_000, 60, Theme.Lateness, { only: 'nextLifeUnstopped' })).toEqual(undefined)
 })
 
 test('faults that are injected only by name are listed with the others', () => {
