--- a/packages/bench/src/processsection.ts
+++ b/packages/bench/src/processsection.ts
@@ -13,7 +13,7 @@
 import type { PlannedJob } from '@amaranthmast/standins/load'
 import { planLoad, runLoad } from '@amaranthmast/standins/load'
 import type { JobRecord } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 import { waitFor } from '@amaranthmast/standins/wait'
 
 import { emptyFleetResponse } from './ideal.ts'
@@ -127,7 +127,7 @@
 }
 
 function isComplete (record: JobRecord): boolean {
-  return record.final?.kind === AnswerWord.Complete
+  return record.final?.kind === AnswerKind.Complete
 }
 
 function responseOf (record: JobRecord): number {
--- a/packages/cli/test/apply.test.ts
+++ b/packages/cli/test/apply.test.ts
@@ -1,6 +1,6 @@
 /** Applying a file: accepted once or refused whole, whatever happens to races, answers and the store. */
 import { test } from 'node:test'
-import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
+import { LostAnswerMode, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { StoreTimedOut } from '@amaranthmast/store/errors'
 import { expect } from 'earl'
 import { errAsync, ResultAsync } from 'neverthrow'
@@ -68,7 +68,7 @@
 
 // The store takes the write and its answer is lost. An operator who is told of a failure applies
 // again, and one who is told nothing does not know which shares are in force.
-for (const loseAnswersBy of Object.values(LostAnswer)) {
+for (const loseAnswersBy of Object.values(LostAnswerMode)) {
   test(`an answer that is lost once is settled, ${loseAnswersBy}`, async (context) => {
     const { store, tool } = await startTool(context)
     await tool.apply(fileWith(0, 60))
--- a/packages/emulator/src/emulatedtarget.ts
+++ b/packages/emulator/src/emulatedtarget.ts
@@ -355,7 +355,7 @@
   /** The order of a poll takes effect as it arrives; its answer waits for an end. */
   #hold<Answer> (instance: string, { acknowledged, wait }: { acknowledged: number, wait: number }, answers: CallAnswers<Answer>, answerBack: () => void): void {
     this.#answer(instance, answers)
-    if (!this.#up || !this.#isCalled(instance) || this.#worker.hasEnds(acknowledged)) return answerBack()
+    if (!this.#up || !this.#isCalled(instance) || this.#worker.hasUnacknowledgedEnds(acknowledged)) return answerBack()
     const poll: WaitingPoll = { instance, acknowledged, answer: answerBack }
     this.#waiting.push(poll)
     this.#wakeIfDue()
@@ -383,7 +383,7 @@
   }
 
   #answerWaiting (): void {
-    const ready = this.#waiting.filter(({ acknowledged }) => this.#worker.hasEnds(acknowledged))
+    const ready = this.#waiting.filter(({ acknowledged }) => this.#worker.hasUnacknowledgedEnds(acknowledged))
     if (ready.length === 0) return
     this.#waiting = this.#waiting.filter(poll => !ready.includes(poll))
     for (const { answer } of ready) answer()
--- a/packages/standins/src/audit.ts
+++ b/packages/standins/src/audit.ts
@@ -3,7 +3,7 @@
  * same machine, so that their clock readings can be compared.
  */
 import type { AnswerBody, JobRecord, StartRecord, StandInResult, TargetRecords } from './records.ts'
-import { AnswerWord, StartOutcome, taskKey } from './records.ts'
+import { AnswerKind, StartOutcome, taskKey } from './records.ts'
 
 /** Counts of one run. Each job is counted once among the first six after `jobs`. */
 export interface AuditCounts {
@@ -61,8 +61,8 @@
     starts: starts.size,
     askedAboveSlots: targets.reduce((sum, target) => sum + target.askedAboveSlots, 0)
   }
-  for (const job of jobs) judgeJob(job, starts, report)
-  judgeDoubles(starts, report)
+  for (const job of jobs) auditJob(job, starts, report)
+  auditDuplicateStarts(starts, report)
   return report
 }
 
@@ -86,35 +86,35 @@
   return starts
 }
 
-function judgeJob (job: JobRecord, starts: StartsByTask, report: AuditReport): void {
+function auditJob (job: JobRecord, starts: StartsByTask, report: AuditReport): void {
   const name = `${job.submission.tenant}/${job.submission.job}`
-  const verdict = verdictOf(job, starts, fault => report.faults.push(`lost: ${name}: ${fault}`))
+  const verdict = determineVerdict(job, starts, fault => report.faults.push(`lost: ${name}: ${fault}`))
   report.counts[verdict]++
-  const early = startDespiteRefusal(job, starts)
+  const early = findStartDespiteRefusal(job, starts)
   if (early === undefined) return
   report.counts.refusedButRan++
   report.faults.push(`refused but ran: ${name}: task ${early.task} started at ${early.target}`)
 }
 
-function verdictOf (job: JobRecord, starts: StartsByTask, note: (fault: string) => void): Verdict {
+function determineVerdict (job: JobRecord, starts: StartsByTask, addFault: (fault: string) => void): Verdict {
   if (job.final === undefined) {
-    note(`no final answer after ${job.attempts.length} submissions`)
+    addFault(`no final answer after ${job.attempts.length} submissions`)
     return Verdict.Lost
   }
-  if (job.final.kind !== AnswerWord.Complete) return VERDICT_BY_ANSWER[job.final.kind]
-  const fault = faultOfComplete(job, job.final, starts)
+  if (job.final.kind !== AnswerKind.Complete) return VERDICT_BY_ANSWER[job.final.kind]
+  const fault = findCompleteAnswerFault(job, job.final, starts)
   if (fault === undefined) return Verdict.Complete
-  note(fault)
+  addFault(fault)
   return Verdict.Lost
 }
 
-const VERDICT_BY_ANSWER: Readonly<Record<Exclude<AnswerWord, AnswerWord.Complete>, Verdict>> = {
-  [AnswerWord.Failed]: Verdict.Failed,
-  [AnswerWord.Refused]: Verdict.Refused,
-  [AnswerWord.MayHaveRun]: Verdict.MayHaveRun
+const VERDICT_BY_ANSWER: Readonly<Record<Exclude<AnswerKind, AnswerKind.Complete>, Verdict>> = {
+  [AnswerKind.Failed]: Verdict.Failed,
+  [AnswerKind.Refused]: Verdict.Refused,
+  [AnswerKind.MayHaveRun]: Verdict.MayHaveRun
 }
 
-function faultOfComplete (job: JobRecord, answer: AnswerBody, starts: StartsByTask): string | undefined {
+function findCompleteAnswerFault (job: JobRecord, answer: AnswerBody, starts: StartsByTask): string | undefined {
   const { tenant, job: id, tasks } = job.submission
   if (answer.job !== id) return `answer of job ${answer.job}`
   const results = answer.results ?? []
@@ -139,25 +139,25 @@
  * far. Only a later submission may start one, so a start before the next submission, or any start
  * when there is none, gives the refusal the lie.
  */
-function startDespiteRefusal (job: JobRecord, starts: StartsByTask): StartRecord | undefined {
-  const boundary = notRunUntil(job)
-  if (boundary === undefined) return undefined
+function findStartDespiteRefusal (job: JobRecord, starts: StartsByTask): StartRecord | undefined {
+  const refusedUntil = refusalEnd(job)
+  if (refusedUntil === undefined) return undefined
   const { tenant, job: id, tasks } = job.submission
   for (let task = 0; task < tasks.length; task++) {
-    const early = starts.get(taskKey(tenant, id, task))?.find(start => start.startedAt < boundary)
+    const early = starts.get(taskKey(tenant, id, task))?.find(start => start.startedAt < refusedUntil)
     if (early !== undefined) return early
   }
   return undefined
 }
 
 /** Time before which the job's last refusal allows no start; undefined when it was never refused. */
-function notRunUntil (job: JobRecord): number | undefined {
-  const last = job.attempts.findLastIndex(attempt => attempt.answer?.kind === AnswerWord.Refused)
+function refusalEnd (job: JobRecord): number | undefined {
+  const last = job.attempts.findLastIndex(attempt => attempt.answer?.kind === AnswerKind.Refused)
   if (last < 0) return undefined
   return job.attempts[last + 1]?.submittedAt ?? Infinity
 }
 
-function judgeDoubles (starts: StartsByTask, report: AuditReport): void {
+function auditDuplicateStarts (starts: StartsByTask, report: AuditReport): void {
   for (const [key, records] of starts) {
     if (records.length < 2) continue
     report.counts.doubled++
--- a/packages/standins/src/balancer.ts
+++ b/packages/standins/src/balancer.ts
@@ -11,7 +11,7 @@
   readonly #ready = new Set<string>()
   readonly #checking = new Set<string>()
   #timer: NodeJS.Timeout | undefined
-  #turn = 0
+  #nextIndex = 0
 
   /** `entries` are base URLs without a final slash. */
   constructor (entries: readonly string[], dispatcher: Dispatcher) {
@@ -41,7 +41,7 @@
     const ready = this.ready()
     const others = ready.filter(entry => entry !== previous)
     const candidates = others.length > 0 ? others : ready
-    return candidates[this.#turn++ % candidates.length]
+    return candidates[this.#nextIndex++ % candidates.length]
   }
 
   /** Leaves an entry out until a check finds it ready again. */
@@ -56,13 +56,13 @@
   async #check (entry: string): Promise<void> {
     if (this.#checking.has(entry)) return
     this.#checking.add(entry)
-    const ready = await this.#answersReady(entry)
+    const ready = await this.#isEntryReady(entry)
     this.#checking.delete(entry)
     if (ready) this.#ready.add(entry)
     else this.#ready.delete(entry)
   }
 
-  async #answersReady (entry: string): Promise<boolean> {
+  async #isEntryReady (entry: string): Promise<boolean> {
     try {
       const response = await request(`${entry}/readyz`, {
         dispatcher: this.#dispatcher,
--- a/packages/standins/src/caller.ts
+++ b/packages/standins/src/caller.ts
@@ -8,10 +8,10 @@
 
 import { Balancer } from './balancer.ts'
 import {
-  CALLER_CONNECTIONS, GIVE_UP, LONGEST_RETRY_AFTER, REFUSAL_TRIES, RESUBMIT_PAUSE, SUBMISSION_TIMEOUT
+  CALLER_CONNECTIONS, JOB_TIMEOUT, MAX_RETRY_AFTER, MAX_REFUSALS, RESUBMIT_DELAY, SUBMISSION_TIMEOUT
 } from './defaults.ts'
 import type { AnswerBody, Attempt, JobRecord, JobSubmission } from './records.ts'
-import { AnswerWord } from './records.ts'
+import { AnswerKind } from './records.ts'
 
 /** Options of a {@link Caller}. Times are in milliseconds. */
 export interface CallerOptions {
@@ -22,10 +22,10 @@
   /** Time from the first submission after which a job is given up. @default 40000 */
   giveUp?: number
   /** Submissions of one job that may be answered by a refusal with a time to come back. @default 8 */
-  refusalTries?: number
+  maxRefusals?: number
 }
 
-const ANSWER_WORDS: ReadonlySet<unknown> = new Set(Object.values(AnswerWord))
+const ANSWER_KINDS: ReadonlySet<unknown> = new Set(Object.values(AnswerKind))
 
 /** Sends jobs and records what came of each. */
 export class Caller {
@@ -37,8 +37,8 @@
   constructor (options: CallerOptions) {
     this.#options = {
       submissionTimeout: SUBMISSION_TIMEOUT,
-      giveUp: GIVE_UP,
-      refusalTries: REFUSAL_TRIES,
+      giveUp: JOB_TIMEOUT,
+      maxRefusals: MAX_REFUSALS,
       ...options
     }
     this.#balancer = new Balancer(options.entries, this.#dispatcher)
@@ -70,12 +70,12 @@
     const record: JobRecord = { submission, submittedAt: Date.now(), attempts: [] }
     this.#records.push(record)
     const body = JSON.stringify(submission)
-    const giveUpAt = record.submittedAt + this.#options.giveUp
-    while (Date.now() < giveUpAt) {
-      const attempt = await this.#attempt(record, body, giveUpAt)
-      const pause = attempt === undefined ? RESUBMIT_PAUSE : this.#pauseAfter(record, attempt)
-      if (pause === undefined) break
-      await delay(pause)
+    const timeoutAt = record.submittedAt + this.#options.giveUp
+    while (Date.now() < timeoutAt) {
+      const attempt = await this.#attempt(record, body, timeoutAt)
+      const retryDelay = attempt === undefined ? RESUBMIT_DELAY : this.#retryDelay(record, attempt)
+      if (retryDelay === undefined) break
+      await delay(retryDelay)
     }
     return record
   }
@@ -90,7 +90,7 @@
     try {
       await this.#post(attempt, body, timeout)
     } catch (error) {
-      attempt.failure = failureOf(error)
+      attempt.failure = describeFailure(error)
       if (attempt.failure === 'ECONNREFUSED') this.#balancer.drop(entry)
     }
     attempt.endedAt = Date.now()
@@ -107,7 +107,7 @@
     })
     const answer = await response.body.json() as Partial<AnswerBody> | null
     attempt.status = response.statusCode
-    if (!ANSWER_WORDS.has(answer?.kind)) {
+    if (!ANSWER_KINDS.has(answer?.kind)) {
       attempt.failure = `status ${response.statusCode} with a body that is no answer`
       return
     }
@@ -115,13 +115,13 @@
   }
 
   /** Time to wait before the job is sent again; undefined when the answer is final. */
-  #pauseAfter (record: JobRecord, attempt: Attempt): number | undefined {
+  #retryDelay (record: JobRecord, attempt: Attempt): number | undefined {
     const { answer } = attempt
-    if (answer === undefined) return RESUBMIT_PAUSE
-    const comeBack = answer.retryAfterMilliseconds ?? 0
-    const refusals = record.attempts.filter(earlier => earlier.answer?.kind === AnswerWord.Refused).length
-    if (answer.kind === AnswerWord.Refused && comeBack > 0 && refusals < this.#options.refusalTries) {
-      return Math.min(comeBack, LONGEST_RETRY_AFTER)
+    if (answer === undefined) return RESUBMIT_DELAY
+    const retryAfter = answer.retryAfterMilliseconds ?? 0
+    const refusals = record.attempts.filter(earlier => earlier.answer?.kind === AnswerKind.Refused).length
+    if (answer.kind === AnswerKind.Refused && retryAfter > 0 && refusals < this.#options.maxRefusals) {
+      return Math.min(retryAfter, MAX_RETRY_AFTER)
     }
     record.final = answer
     record.finishedAt = attempt.endedAt
@@ -135,7 +135,7 @@
   return { ...answer, retryAfterMilliseconds: Number(header) * 1000 }
 }
 
-function failureOf (error: unknown): string {
+function describeFailure (error: unknown): string {
   const { code, name, message } = error as { code?: unknown, name?: string, message?: string }
   if (typeof code === 'string') return code
   return name ?? message ?? 'unknown failure'
--- a/packages/standins/src/defaults.ts
+++ b/packages/standins/src/defaults.ts
@@ -6,13 +6,13 @@
 export const TARGET_SLOTS = 8
 
 /** Start records that a target holds; starts beyond are only counted, and an audit then fails. */
-export const TARGET_RECORDS = 1_000_000
+export const MAX_TARGET_RECORDS = 1_000_000
 
 /** Largest payload that a target reads, in bytes. */
-export const TARGET_BODY_BYTES = 4 * 1024 * 1024
+export const MAX_TARGET_BODY_BYTES = 4 * 1024 * 1024
 
 /** Idle time after which a target closes a connection: long, so that no call meets a closing one. */
-export const TARGET_KEEP_ALIVE = 60_000
+export const TARGET_KEEP_ALIVE_TIMEOUT = 60_000
 
 /** Time between two readiness checks of the same entry. */
 export const READINESS_INTERVAL = 200
@@ -21,19 +21,19 @@
 export const READINESS_TIMEOUT = 1_000
 
 /** Submissions of one job that may be answered by a refusal with a time to come back. */
-export const REFUSAL_TRIES = 8
+export const MAX_REFUSALS = 8
 
 /** Longest wait that a caller accepts before it comes back after a refusal. */
-export const LONGEST_RETRY_AFTER = 5_000
+export const MAX_RETRY_AFTER = 5_000
 
 /** Time after which a caller takes one submission for lost and submits the job again. */
 export const SUBMISSION_TIMEOUT = 10_000
 
 /** Time from the first submission after which a caller gives a job up. */
-export const GIVE_UP = 40_000
+export const JOB_TIMEOUT = 40_000
 
 /** Wait before a submission that follows a broken one, and when no entry is ready. */
-export const RESUBMIT_PAUSE = 50
+export const RESUBMIT_DELAY = 50
 
 /** Connections that a caller holds to one entry. */
 export const CALLER_CONNECTIONS = 256
@@ -42,10 +42,10 @@
 export const JOB_DEADLINE = 30_000
 
 /** Lines that a process group keeps of each process. */
-export const LOG_LINES = 400
+export const MAX_LOG_LINES = 400
 
 /** Characters that a process group keeps of each line. */
-export const LOG_LINE_LENGTH = 1_000
+export const MAX_LOG_LINE_LENGTH = 1_000
 
 /** Time that a launched process has until it is ready. */
 export const LAUNCH_TIMEOUT = 15_000
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -31,9 +31,9 @@
 const FAULT_LINES = 20
 
 /** Time within which an accepted configuration is in force everywhere, in milliseconds. */
-const SHARES_IN_FORCE = 4_000
+const SHARES_PROPAGATION_TIME = 4_000
 
-const FIRST_SHARES = { 'provider-a': 60, 'provider-b': 40 }
+const INITIAL_SHARES = { 'provider-a': 60, 'provider-b': 40 }
 const LATER_SHARES = { 'provider-a': 20, 'provider-b': 80 }
 
 /** What happens during the load, in milliseconds from its start. */
@@ -72,15 +72,15 @@
   }
 
   async run (): Promise<AuditReport> {
-    this.say(`starting the store, ${AGENTS} targets, ${AGENTS} agents and ${ENTRIES} entries`)
+    this.print(`starting the store, ${AGENTS} targets, ${AGENTS} agents and ${ENTRIES} entries`)
     await this.fleet.start()
-    await this.apply(0, FIRST_SHARES)
+    await this.apply(0, INITIAL_SHARES)
     await waitFor('all entries and agents to be ready', READY_TIMEOUT, READY_POLL, () => this.#allReady())
     const caller = new Caller({ entries: this.fleet.callersUrls })
     try {
       await caller.start()
       await this.#load(caller)
-      return await this.#judge(caller)
+      return await this.#auditRun(caller)
     } finally {
       await caller.close()
     }
@@ -92,7 +92,7 @@
     const { code, log } = await this.fleet.run('amaranthmast', ['apply', file, '--store', this.fleet.storeUrl])
     if (code !== 0) throw new ApplyFailedError(code, log)
     this.#sharesChangedAt = Date.now()
-    this.say(`applied shares ${JSON.stringify(shares)}`)
+    this.print(`applied shares ${JSON.stringify(shares)}`)
   }
 
   async killEntry (index: number): Promise<void> {
@@ -112,19 +112,19 @@
   }
 
   /** A line for the person who watches. */
-  say (text: string): void {
+  print (text: string): void {
     const seconds = ((performance.now() - this.#startedAt) / 1000).toFixed(1).padStart(5)
     console.log(`${seconds} s  ${text}`)
   }
 
   async #kill (daemon: Daemon): Promise<void> {
     await this.fleet.killDaemon(daemon)
-    this.say(`killed ${daemon.id} (kill -9)`)
+    this.print(`killed ${daemon.id} (kill -9)`)
   }
 
   async #restart (daemon: Daemon): Promise<void> {
     await this.fleet.startDaemon(daemon)
-    this.say(`restarted ${daemon.id}`)
+    this.print(`restarted ${daemon.id}`)
   }
 
   async #allReady (): Promise<boolean> {
@@ -136,14 +136,14 @@
   async #load (caller: Caller): Promise<void> {
     const plan = planLoad({ ...LOAD, seed: this.#seed, prefix: 'demo' })
     const tasks = plan.reduce((sum, { submission }) => sum + submission.tasks.length, 0)
-    this.say(`lodging ${plan.length} jobs of 1 to 140 tasks, ${tasks} tasks in all, over ${LOAD.seconds} s`)
-    const progress = setInterval(() => this.#sayProgress(caller), PROGRESS_INTERVAL)
+    this.print(`lodging ${plan.length} jobs of 1 to 140 tasks, ${tasks} tasks in all, over ${LOAD.seconds} s`)
+    const progress = setInterval(() => this.#printProgress(caller), PROGRESS_INTERVAL)
     try {
       await Promise.all([runLoad(plan, caller), this.#runEvents()])
     } finally {
       clearInterval(progress)
     }
-    this.#sayProgress(caller)
+    this.#printProgress(caller)
   }
 
   async #runEvents (): Promise<void> {
@@ -154,32 +154,32 @@
     }
   }
 
-  #sayProgress (caller: Caller): void {
+  #printProgress (caller: Caller): void {
     const records = caller.records()
     const { answers, resubmissions } = summarise(records, AGENTS * SLOTS)
     const { none = 0, ...given } = answers
     const kinds = Object.entries(given).map(([kind, count]) => `${kind} ${count}`).join(', ')
-    this.say(`lodged ${records.length}, open ${none}, ${kinds}; sent again ${resubmissions}; ` +
+    this.print(`lodged ${records.length}, open ${none}, ${kinds}; sent again ${resubmissions}; ` +
       `entries ready ${caller.readyEntries().length}/${ENTRIES}`)
   }
 
-  async #judge (caller: Caller): Promise<AuditReport> {
+  async #auditRun (caller: Caller): Promise<AuditReport> {
     const targets = await fetchSettledRecords(this.fleet.targetUrls)
-    this.#sayShares(targets)
+    this.#printShares(targets)
     const { ratio, responseMilliseconds } = summarise(caller.records(), AGENTS * SLOTS)
-    this.say(`response time p50 ${responseMilliseconds.p50} ms, p99 ${responseMilliseconds.p99} ms; ` +
+    this.print(`response time p50 ${responseMilliseconds.p50} ms, p99 ${responseMilliseconds.p99} ms; ` +
       `over the ideal p50 ${ratio.p50}, p99 ${ratio.p99}`)
     return audit(caller.records(), targets)
   }
 
-  #sayShares (targets: readonly TargetRecords[]): void {
-    const settled = this.#sharesChangedAt + SHARES_IN_FORCE
-    const before = this.#shareOfFirst(targets, 0, this.#sharesChangedAt)
-    const after = this.#shareOfFirst(targets, settled, Infinity)
-    this.say(`provider-a ran ${before}% of the starts before the change of shares, ${after}% from 4 s after it`)
+  #printShares (targets: readonly TargetRecords[]): void {
+    const propagatedAt = this.#sharesChangedAt + SHARES_PROPAGATION_TIME
+    const before = this.#firstProviderPercent(targets, 0, this.#sharesChangedAt)
+    const after = this.#firstProviderPercent(targets, propagatedAt, Infinity)
+    this.print(`provider-a ran ${before}% of the starts before the change of shares, ${after}% from 4 s after it`)
   }
 
-  #shareOfFirst (targets: readonly TargetRecords[], from: number, to: number): number {
+  #firstProviderPercent (targets: readonly TargetRecords[], from: number, to: number): number {
     const firstProvider = new Set(this.fleet.targets.filter(({ provider }) => provider === 'provider-a').map(({ id }) => id))
     const starts = targets.flatMap(({ records }) => records).filter(({ startedAt }) => startedAt >= from && startedAt < to)
     const ofFirst = starts.filter(({ target }) => firstProvider.has(target))
@@ -202,16 +202,16 @@
   return daemon
 }
 
-function sayVerdict (demo: Demo, report: AuditReport): boolean {
-  for (const fault of report.faults.slice(0, FAULT_LINES)) demo.say(fault)
+function printVerdict (demo: Demo, report: AuditReport): boolean {
+  for (const fault of report.faults.slice(0, FAULT_LINES)) demo.print(fault)
   const { refusedButRan, ...counts } = report.counts
-  if (refusedButRan > 0) demo.say(`${refusedButRan} jobs were refused as not run and had run`)
-  if (counts.complete === 0) demo.say('no job was completed')
+  if (refusedButRan > 0) demo.print(`${refusedButRan} jobs were refused as not run and had run`)
+  if (counts.complete === 0) demo.print('no job was completed')
   console.log(JSON.stringify(counts))
   return isClean(report) && counts.complete > 0
 }
 
-function sayLogs (demo: Demo): void {
+function printLogs (demo: Demo): void {
   for (const daemon of [...demo.fleet.entries, ...demo.fleet.agents]) {
     console.error(`--- ${daemon.id}`)
     console.error(daemon.process?.log.slice(-FAULT_LINES).join('\n'))
@@ -226,12 +226,12 @@
     report = await demo.run()
   } catch (error) {
     console.error(error)
-    sayLogs(demo)
+    printLogs(demo)
   }
   const killed = await demo.fleet.stop()
-  if (killed.length > 0) demo.say(`had to be killed: ${killed.join(', ')}`)
-  demo.say('stopped all')
-  return report !== undefined && sayVerdict(demo, report) ? 0 : 1
+  if (killed.length > 0) demo.print(`had to be killed: ${killed.join(', ')}`)
+  demo.print('stopped all')
+  return report !== undefined && printVerdict(demo, report) ? 0 : 1
 }
 
 process.exit(await main())
--- a/packages/standins/src/fleet.ts
+++ b/packages/standins/src/fleet.ts
@@ -9,7 +9,7 @@
 
 import { request } from 'undici'
 
-import { LinkCutter } from './cutter.ts'
+import { LinkRelay } from './linkrelay.ts'
 import { LOOPBACK, READINESS_TIMEOUT, TARGET_SLOTS } from './defaults.ts'
 import { PortPicker } from './ports.ts'
 import type { LaunchedProcess } from './processes.ts'
@@ -39,7 +39,7 @@
   logLevel?: string
   /** Options for node itself when it runs a daemon. */
   nodeArguments?: readonly string[]
-  /** Puts a {@link LinkCutter} into every link: see {@link Fleet.link}. @default false */
+  /** Puts a {@link LinkRelay} into every link: see {@link Fleet.link}. @default false */
   relays?: boolean
 }
 
@@ -87,7 +87,7 @@
   readonly #options: Required<Omit<FleetOptions, 'policy'>> & { policy?: string }
   readonly #group = new ProcessGroup()
   readonly #ports = new PortPicker()
-  readonly #links = new Map<string, LinkCutter>()
+  readonly #links = new Map<string, LinkRelay>()
   readonly #linkPorts = new Map<string, number>()
   readonly #removeFolder = (): void => { rmSync(this.#folder, { recursive: true, force: true }) }
   #folder = ''
@@ -159,7 +159,7 @@
       const port = await this.#ports.pick()
       this.targets.push({
         id: `target-${number}`,
-        provider: this.#dealt(this.#options.providers, number),
+        provider: this.#roundRobin(this.#options.providers, number),
         url: `http://${LOOPBACK}:${port}`
       })
     }
@@ -212,7 +212,7 @@
   }
 
   /** The relay of a link, by the id of the daemon that it belongs to. Throws without `relays`. */
-  link (kind: LinkKind, daemonId: string): LinkCutter {
+  link (kind: LinkKind, daemonId: string): LinkRelay {
     const link = this.#links.get(linkName(kind, daemonId))
     if (link === undefined) throw new RangeError(`no relayed link ${kind} of ${daemonId}: set relays to true`)
     return link
@@ -227,8 +227,8 @@
 
   /** Stops everything: entries gracefully, then agents, targets and store. Resolves to the names of those that had to be killed. */
   async stop (): Promise<string[]> {
-    const killed = [...await stopTogether(this.entries), ...await stopTogether(this.agents)]
-    killed.push(...await stopTogether(this.targets), ...await this.#group.stop())
+    const killed = [...await stopAll(this.entries), ...await stopAll(this.agents)]
+    killed.push(...await stopAll(this.targets), ...await this.#group.stop())
     for (const link of this.#links.values()) await link.close()
     this.#removeFolder()
     process.off('exit', this.#removeFolder)
@@ -253,7 +253,7 @@
   async #prepareEntry (id: string, number: number): Promise<Daemon> {
     const callersPort = await this.#ports.pick()
     const peersPort = await this.#ports.pick()
-    const address = `http://${LOOPBACK}:${await this.#relayed(LinkKind.Peers, id, peersPort)}`
+    const address = `http://${LOOPBACK}:${await this.#relayPort(LinkKind.Peers, id, peersPort)}`
     return await this.#writeSettings(id, number, callersPort, {
       role: 'entry',
       callers: { host: LOOPBACK, port: callersPort },
@@ -265,7 +265,7 @@
   async #prepareAgent (id: string, number: number): Promise<Daemon> {
     const target = this.targets[number - 1]
     if (target === undefined) throw new RangeError(`${id} has no target`)
-    const targetPort = await this.#relayed(LinkKind.Target, id, Number(portOf(target.url)))
+    const targetPort = await this.#relayPort(LinkKind.Target, id, Number(portOf(target.url)))
     return await this.#writeSettings(id, number, undefined, {
       role: 'agent',
       target: {
@@ -281,10 +281,10 @@
 
   async #writeSettings (id: string, number: number, callersPort: number | undefined, own: Settings): Promise<Daemon> {
     const statusPort = await this.#ports.pick()
-    const storePort = await this.#relayed(LinkKind.Store, id, this.#storePort)
+    const storePort = await this.#relayPort(LinkKind.Store, id, this.#storePort)
     const settings: Settings = {
       id,
-      dataCentre: this.#dealt(this.#options.dataCentres, number),
+      dataCentre: this.#roundRobin(this.#options.dataCentres, number),
       rack: `rack-${Math.ceil(number / AGENTS_PER_RACK)}`,
       store: { endpoints: [`http://${LOOPBACK}:${storePort}`], prefix: STORE_PREFIX },
       status: { host: LOOPBACK, port: statusPort },
@@ -304,9 +304,9 @@
   }
 
   /** Port to use for a link: the relay's when links are relayed, else the one given. */
-  async #relayed (kind: LinkKind, daemonId: string, port: number): Promise<number> {
+  async #relayPort (kind: LinkKind, daemonId: string, port: number): Promise<number> {
     if (!this.#options.relays) return port
-    const link = new LinkCutter(port)
+    const link = new LinkRelay(port)
     const relayPort = await link.listen(await this.#ports.pick())
     this.#links.set(linkName(kind, daemonId), link)
     this.#linkPorts.set(linkName(kind, daemonId), relayPort)
@@ -324,16 +324,16 @@
     return join(this.#options.programs, `${name}.js`)
   }
 
-  #dealt (items: readonly string[], number: number): string {
+  #roundRobin (items: readonly string[], number: number): string {
     return items[(number - 1) % items.length] ?? ''
   }
 }
 
 /** Stops processes at the same time. Resolves to the names of those that had to be killed. */
-async function stopTogether (parts: ReadonlyArray<{ id: string, process?: LaunchedProcess }>): Promise<string[]> {
-  const running = parts.filter(part => part.process?.isRunning)
-  const byThemselves = await Promise.all(running.map(part => part.process?.stop()))
-  return running.filter((_part, index) => byThemselves[index] === false).map(part => part.id)
+async function stopAll (members: ReadonlyArray<{ id: string, process?: LaunchedProcess }>): Promise<string[]> {
+  const running = members.filter(member => member.process?.isRunning)
+  const stoppedGracefully = await Promise.all(running.map(member => member.process?.stop()))
+  return running.filter((_part, index) => stoppedGracefully[index] === false).map(member => member.id)
 }
 
 function linkName (kind: LinkKind, daemonId: string): string {
--- a/packages/standins/src/fleetworker.ts
+++ b/packages/standins/src/fleetworker.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the platform's worker over HTTP, around `LeasedWorker`. It announces itself to the
- * agent beside it, takes orders, and can lose answers, answer or carry orders out late, refuse,
- * close its listener, or crash.
+ * Stand-in for the platform's worker: serves a `LeasedWorker` over HTTP. It sends heartbeats to the
+ * agent on its instance and accepts orders. Its faults are lost answers, delayed answers or orders,
+ * refused orders, a closed listener, and crashes.
  */
 import type { RunPlan, WorkerRun } from './leasedworker.ts'
 import type { RunInterval } from './runintervals.ts'
@@ -11,37 +11,40 @@
 import { setTimeout as pause } from 'node:timers/promises'
 import { LeasedWorker } from './leasedworker.ts'
 
+/** Options of a {@link FleetWorker}. */
 export interface FleetWorkerOptions {
   service: string
   dataCentre: string
+  /** CPU capacity in thousandths of a core. */
   cpu: number
-  /** Address of the agent, `host:port`, for announcements. */
+  /** Address of the agent, `host:port`, which receives the heartbeats. */
   agent: string
   plan: (task: string) => RunPlan
   /** @default 200 */
   heartbeatMilliseconds?: number
-  /** @default 1000 */
+  /** Maximum lease in milliseconds. @default 1000 */
   longestLease?: number
-  /** It states the moment of its start, as workers do that may start again under their id. @default false */
-  statesStart?: boolean
+  /** Whether it reports its start time, as workers do that may restart under the same id. @default false */
+  reportsStartTime?: boolean
 }
 
-/** What goes wrong; everything off by default. */
+/** Faults of a worker, all off by default. */
 export interface WorkerFaults {
-  /** Orders are carried out and their answers lost. */
+  /** Orders are executed and their answers are lost. */
   loseAnswers: boolean
-  /** Orders get no answer and are carried out this much later, in milliseconds; 0 for at once. */
+  /** Orders get no answer and are executed after this many milliseconds; 0 turns the fault off. */
   delay: number
-  /** It answers 503 and does nothing. */
+  /** Orders are answered with status 503 and not executed. */
   refuse: boolean
-  /** Orders are carried out at once and answered this much later, in milliseconds. */
+  /** Orders are executed at once and answered after this many milliseconds. */
   answerDelay: number
-  /** Orders are carried out this much later and then answered, in milliseconds. */
+  /** Orders are executed and answered after this many milliseconds. */
   orderDelay: number
-  /** Stops get no answer and are not carried out. */
+  /** Stop orders get no answer and are not executed. */
   ignoreStops: boolean
 }
 
+/** Body of an order. */
 interface WireOrder {
   task: string
   run: number
@@ -56,12 +59,15 @@
 
 const STOP_PATH = '/v1/run-stop'
 
+/** Milliseconds between two checks of a waiting poll. */
 const POLL_INTERVAL = 2
+/** CPU that each task occupies, in thousandths of a core. */
 const CPU_PER_TASK = 2000
 
+/** A worker that listens over HTTP and sends heartbeats. */
 export class FleetWorker {
   readonly faults: WorkerFaults = { loseAnswers: false, delay: 0, refuse: false, answerDelay: 0, orderDelay: 0, ignoreStops: false }
-  /** Starts that were carried out, in order: task and run. */
+  /** Confirmed starts in order, a repeated order included. */
   readonly started: Array<{ task: string, run: number }> = []
   readonly #done = new Set<string>()
   readonly #intervals: RunInterval[] = []
@@ -69,11 +75,13 @@
   readonly #server: Server
   #worker: LeasedWorker
   #instance: string
-  #lives = 1
+  /** Number of the current incarnation; after a crash it becomes part of the instance id. */
+  #incarnation = 1
   #sequence = 0
-  /** Unix milliseconds of its start, and the reading of the process's clock then. */
+  /** Start time of the incarnation in Unix milliseconds. */
   #born = Date.now()
-  #clockSince = 0
+  /** Time of the process's clock at which the worker's clock reads 0. */
+  #clockOffset = 0
   #state = 'ready'
   #timer: NodeJS.Timeout | undefined
 
@@ -85,12 +93,12 @@
 
   constructor (options: FleetWorkerOptions) {
     this.#options = options
-    this.#worker = this.#newLife()
+    this.#worker = this.#createWorker()
     this.#instance = 'i-1'
-    this.#server = createServer((request, response) => { this.#handle(request, response) })
+    this.#server = createServer((request, response) => { this.#readRequest(request, response) })
   }
 
-  /** Runs of tasks that ended as done, since the stand-in was made. */
+  /** Tasks whose run was reported as done, over all incarnations. */
   get done (): ReadonlySet<string> {
     return this.#done
   }
@@ -99,22 +107,24 @@
     return this.#options.dataCentre
   }
 
+  /** Instance id of the current incarnation. */
   get instance (): string {
     return this.#instance
   }
 
+  /** Tasks that are running. */
   get running (): string[] {
     this.#worker.advance(this.#clock)
     return this.#worker.running.map(({ task }) => task)
   }
 
-  /** When each run was there, on the clock of this process; those that go on until now. */
+  /** Interval of each run in the clock of this process; runs in progress end now. */
   get intervals (): RunInterval[] {
     this.#worker.advance(this.#clock)
     return [...this.#intervals, ...this.#worker.running.map(run => this.#interval(run, 'running', this.#clock))]
   }
 
-  /** @returns the address on which it takes orders */
+  /** Starts listening for orders. Resolves to the address, `host:port`. */
   async listen (host: string, port = 0): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.#server.once('error', reject)
@@ -126,7 +136,7 @@
     return `${host}:${(this.#server.address() as AddressInfo).port}`
   }
 
-  /** For this long, in milliseconds, it breaks every connection and refuses new ones, while all that runs goes on. */
+  /** Closes all connections and refuses new ones for this many milliseconds, while the runs continue. */
   async closeListener (milliseconds: number): Promise<void> {
     if (!this.#server.listening) return
     const { address, port } = this.#server.address() as AddressInfo
@@ -136,35 +146,36 @@
     await this.listen(address, port)
   }
 
-  /** Begins to announce itself. */
+  /** Sends a heartbeat immediately and repeats it at the heartbeat interval. */
   announce (): void {
-    this.#beat()
-    this.#timer = setInterval(() => this.#beat(), this.#options.heartbeatMilliseconds ?? 200)
+    this.#sendHeartbeat()
+    this.#timer = setInterval(() => this.#sendHeartbeat(), this.#options.heartbeatMilliseconds ?? 200)
   }
 
-  /** A new life: a new id, nothing running, no token seen. */
+  /** Crashes and starts a new incarnation under a new id, with no runs and no fencing token. */
   crash (): void {
-    this.#endLife()
-    this.#instance = `i-${this.#lives}`
-    this.#worker = this.#newLife()
+    this.#endIncarnation()
+    this.#instance = `i-${this.#incarnation}`
+    this.#worker = this.#createWorker()
     this.#state = 'ready'
-    this.#beat()
+    this.#sendHeartbeat()
   }
 
-  /** A new life under the same id: nothing running, no token seen, counts and clock started anew. */
+  /** Starts a new incarnation under the same id, with no runs, no fencing token, and sequence and clock reset. */
   restart (): void {
-    this.#endLife()
-    this.#worker = this.#newLife()
+    this.#endIncarnation()
+    this.#worker = this.#createWorker()
     this.#born = Math.max(Date.now(), this.#born + 1)
-    this.#clockSince = Math.floor(performance.now())
+    this.#clockOffset = Math.floor(performance.now())
     this.#sequence = 0
     this.#state = 'ready'
-    this.#beat()
+    this.#sendHeartbeat()
   }
 
+  /** Reports the state `draining` from now on. */
   drain (): void {
     this.#state = 'draining'
-    this.#beat()
+    this.#sendHeartbeat()
   }
 
   close (): void {
@@ -173,44 +184,45 @@
     this.#server.closeAllConnections()
   }
 
+  /** Time of the worker's clock in milliseconds. */
   get #clock (): number {
-    return Math.floor(performance.now()) - this.#clockSince
+    return Math.floor(performance.now()) - this.#clockOffset
   }
 
-  /** What it says of its start in heartbeats and lists of runs. */
-  get #stated (): object {
-    return this.#options.statesStart === true ? { born: this.#born } : {}
+  /** The start time as heartbeats and poll answers report it; empty unless `reportsStartTime` is set. */
+  get #startTimeFields (): object {
+    return this.#options.reportsStartTime === true ? { born: this.#born } : {}
   }
 
-  #newLife (): LeasedWorker {
+  #createWorker (): LeasedWorker {
     const { cpu, longestLease = 1000, plan } = this.#options
     return new LeasedWorker({ cpu, longestLease, plan, ended: (run, how, at) => this.#intervals.push(this.#interval(run, how, at)) })
   }
 
-  #endLife (): void {
+  #endIncarnation (): void {
     const ended = this.intervals.slice(this.#intervals.length)
     this.#intervals.push(...ended.map(interval => ({ ...interval, how: 'crashed' })))
-    this.#lives += 1
+    this.#incarnation += 1
   }
 
   #interval ({ task, run, startedAt }: WorkerRun, how: string, at: number): RunInterval {
-    return { task, run, from: this.#clockSince + startedAt, to: this.#clockSince + at, how }
+    return { task, run, from: this.#clockOffset + startedAt, to: this.#clockOffset + at, how }
   }
 
-  #handle (request: IncomingMessage, response: ServerResponse): void {
+  #readRequest (request: IncomingMessage, response: ServerResponse): void {
     const chunks: Buffer[] = []
     request.on('data', (chunk: Buffer) => chunks.push(chunk))
-    request.on('end', () => { this.#order(request, JSON.parse(Buffer.concat(chunks).toString('utf8')) as WireOrder, response) })
+    request.on('end', () => { this.#handleOrder(request, JSON.parse(Buffer.concat(chunks).toString('utf8')) as WireOrder, response) })
   }
 
-  async #order (request: IncomingMessage, order: WireOrder, response: ServerResponse): Promise<void> {
+  async #handleOrder (request: IncomingMessage, order: WireOrder, response: ServerResponse): Promise<void> {
     const handler = this.#handlers[request.url ?? '']
-    if (handler === undefined) return reply(response, { status: 404, body: {} })
+    if (handler === undefined) return sendAnswer(response, { status: 404, body: {} })
     const { delay, loseAnswers, answerDelay, orderDelay, ignoreStops } = this.faults
     if (orderDelay > 0) await pause(orderDelay)
     const expected = request.headers['x-expected-instance']
-    if (expected !== undefined && expected !== this.#instance) return reply(response, { status: 421, body: {} })
-    if (this.faults.refuse) return reply(response, { status: 503, body: {} })
+    if (expected !== undefined && expected !== this.#instance) return sendAnswer(response, { status: 421, body: {} })
+    if (this.faults.refuse) return sendAnswer(response, { status: 503, body: {} })
     if (ignoreStops && request.url === STOP_PATH) return
     if (delay > 0) {
       setTimeout(() => { handler(order) }, delay)
@@ -219,7 +231,7 @@
     const answer = await handler(order)
     if (answerDelay > 0) await pause(answerDelay)
     if (answer === undefined) response.destroy()
-    else if (!loseAnswers) reply(response, answer)
+    else if (!loseAnswers) sendAnswer(response, answer)
   }
 
   #start ({ task, run, deadline_ms: deadline = 0, fencing_token: token = 0 }: WireOrder): Answer {
@@ -234,30 +246,33 @@
     return accepted ? { status: 200, body: { clock_ms: this.#clock } } : { status: 409, body: { clock_ms: this.#clock, reason: 'fence' } }
   }
 
-  /** A call that waits breaks off when the life that it waits at ends: the clock of the next one starts anew. */
+  /**
+   * Extends the lease and waits until a run ends or the wait limit has passed. The connection is
+   * closed when the incarnation ends meanwhile, because the clock of the next one may be reset.
+   */
   async #hold ({ fencing_token: token = 0, deadline_ms: deadline, acked = 0, wait_ms: wait = 0 }: WireOrder): Promise<Answer | undefined> {
-    const life = this.#lives
+    const incarnation = this.#incarnation
     const until = this.#clock + wait
-    // It grants the lease once, on its arrival, however long its answer waits.
-    let granting = deadline
-    while (life === this.#lives) {
-      const poll = this.#worker.poll(token, granting, acked, this.#clock)
-      granting = undefined
+    // The lease is extended only once, on arrival, however long the answer waits.
+    let leaseDeadline = deadline
+    while (incarnation === this.#incarnation) {
+      const poll = this.#worker.poll(token, leaseDeadline, acked, this.#clock)
+      leaseDeadline = undefined
       for (const { task, how } of poll.ended) if (how === 'done') this.#done.add(task)
       if (poll.fenced) return { status: 409, body: { clock_ms: this.#clock, reason: 'fence' } }
-      if (poll.ended.length > 0 || this.#clock >= until) return { status: 200, body: { ...wirePoll(poll, this.#clock), ...this.#stated } }
+      if (poll.ended.length > 0 || this.#clock >= until) return { status: 200, body: { ...wirePoll(poll, this.#clock), ...this.#startTimeFields } }
       await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL))
     }
     return undefined
   }
 
-  #beat (): void {
+  #sendHeartbeat (): void {
     this.#sequence += 1
     const { service, dataCentre, cpu, agent } = this.#options
-    const body = JSON.stringify({ service, address: '', zone: dataCentre, version: 'v1', slots: 8, state: this.#state, cold_remaining_ms: 0, capacity: { cpu, mem_mb: 65_536, gpu: 0 }, labels: ['a', 'r1-1'], clock_ms: this.#clock, sequence: this.#sequence, ...this.#stated })
+    const body = JSON.stringify({ service, address: '', zone: dataCentre, version: 'v1', slots: 8, state: this.#state, cold_remaining_ms: 0, capacity: { cpu, mem_mb: 65_536, gpu: 0 }, labels: ['a', 'r1-1'], clock_ms: this.#clock, sequence: this.#sequence, ...this.#startTimeFields })
     const call = httpRequest(`http://${agent}/v1/Instances.Heartbeat/${this.#instance}`, { method: 'POST', headers: { 'content-type': 'application/json' } })
     call.on('response', response => response.resume())
-    // The agent may be down: the next announcement comes soon.
+    // The agent may be down; the next heartbeat follows soon.
     call.on('error', () => {})
     call.end(body)
   }
@@ -271,7 +286,7 @@
   }
 }
 
-function reply (response: ServerResponse, { status, body }: Answer): void {
+function sendAnswer (response: ServerResponse, { status, body }: Answer): void {
   response.writeHead(status, { 'content-type': 'application/json' })
   response.end(JSON.stringify(body))
 }
--- a/packages/standins/src/keyvalue.ts
+++ b/packages/standins/src/keyvalue.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the platform's key-value service, for tests: the calls of the published JSON gateway
- * that the system uses, in memory, with faults that can be switched on and off.
+ * Stand-in for the platform's key-value service, for tests. It implements, in memory, the calls of
+ * the published JSON gateway that the system uses, with faults that can be switched on and off.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -8,7 +8,7 @@
 import type { TransactionRequest } from './keyvaluegateway.ts'
 import type { WatchRequest } from './keyvaluewatch.ts'
 import { createServer } from 'node:http'
-import { CallCounter, CallKind, LostAnswer, noFaults, Outage, parseFaults } from './keyvaluefaults.ts'
+import { CallCounter, CallKind, LostAnswerMode, noFaults, Outage, parseFaults } from './keyvaluefaults.ts'
 import { GatewayRefusal, isReadOnly, KeyValueGateway } from './keyvaluegateway.ts'
 import { KeyValueState } from './keyvaluestate.ts'
 import { KeyValueWatch } from './keyvaluewatch.ts'
@@ -16,7 +16,7 @@
 /** Options of `KeyValueStandIn`. */
 export interface KeyValueStandInOptions {
   /**
-   * Past revisions that can still be read and watched.
+   * Number of past revisions that can still be read and watched.
    * @default 1000
    */
   keptRevisions?: number
@@ -29,12 +29,12 @@
 }
 
 const TRANSACTION_PATH = '/v3/kv/txn'
-const KEPT_REVISIONS = 1000
-const LEASE_CHECK_MILLISECONDS = 100
-const MAXIMUM_BODY_BYTES = 16_777_216
-const STALE_CONNECTION_MILLISECONDS = 60_000
+const DEFAULT_KEPT_REVISIONS = 1000
+const LEASE_CHECK_INTERVAL_MILLISECONDS = 100
+const MAX_BODY_BYTES = 16_777_216
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 60_000
 
-/** The service, on one port for calls and, if wanted, another for control that outlives outages. */
+/** The service on one port for calls and, optionally, a control port that stays available during outages. */
 export class KeyValueStandIn {
   readonly #state: KeyValueState
   readonly #gateway: KeyValueGateway
@@ -49,7 +49,7 @@
   #host = '127.0.0.1'
 
   constructor (options: KeyValueStandInOptions = {}) {
-    this.#state = new KeyValueState(options.keptRevisions ?? KEPT_REVISIONS, Date.now)
+    this.#state = new KeyValueState(options.keptRevisions ?? DEFAULT_KEPT_REVISIONS, Date.now)
     this.#gateway = new KeyValueGateway(this.#state, (bytes) => { this.#counter.countValueBytes(bytes) })
     const gateway = this.#gateway
     this.#calls = {
@@ -63,12 +63,12 @@
     }
   }
 
-  /** Port of the calls. */
+  /** Port for calls. */
   get port (): number {
     return this.#port
   }
 
-  /** Origin of the calls, as clients take it. */
+  /** Base URL for clients. */
   get endpoint (): string {
     return `http://${this.#host}:${this.#port}`
   }
@@ -83,26 +83,26 @@
     return this.#state.revision
   }
 
-  /** Counts of calls, all and by second. */
+  /** Call counts, in total and by second. */
   get calls (): CallReport {
     return this.#counter.report()
   }
 
-  /** Listens on `port` (0: any free one) and gives the port. */
+  /** Listens on `port`; 0 lets the system pick one. Resolves to the port. */
   async start (port = 0, host = '127.0.0.1'): Promise<number> {
     this.#host = host
     this.#port = await this.#listen(port)
-    this.#leaseTimer = setInterval(() => { this.#state.expireLeases() }, LEASE_CHECK_MILLISECONDS)
+    this.#leaseTimer = setInterval(() => { this.#state.expireLeases() }, LEASE_CHECK_INTERVAL_MILLISECONDS)
     return this.#port
   }
 
-  /** Listens on a second port for `/standin/` alone, which goes on during an outage; gives the port. */
+  /** Listens on a second port, which serves only `/standin/` and stays available during an outage. Resolves to the port. */
   async startControl (port = 0): Promise<number> {
     this.#control = createServer((request, response) => { this.#serveControl(request, response).catch(() => {}) })
     return await listen(this.#control, port, this.#host)
   }
 
-  /** Ends both ports and cuts every connection. */
+  /** Closes both ports and every connection. */
   async stop (): Promise<void> {
     clearInterval(this.#leaseTimer)
     await Promise.all([this.#server, this.#control].map(closeServer))
@@ -110,7 +110,7 @@
     this.#control = undefined
   }
 
-  /** Changes the faults that are named, and leaves the others. */
+  /** Changes the given faults and keeps the others. */
   async setFaults (faults: Partial<KeyValueFaults>): Promise<void> {
     const before = this.#faults.outage
     this.#faults = { ...this.#faults, ...faults }
@@ -125,24 +125,24 @@
     }
   }
 
-  /** Ends all faults. */
+  /** Switches all faults off. */
   async clearFaults (): Promise<void> {
     await this.setFaults(noFaults())
   }
 
-  /** Cuts every open watch. */
+  /** Closes the connection of every open watch. */
   cutWatches (): void {
     this.#watches.forEach((watch) => { watch.cut() })
   }
 
-  /** Forgets the changes up to `revision`. */
+  /** Compacts the history up to `revision`. */
   compact (revision = this.#state.revision): void {
     this.#state.compact(revision)
   }
 
   async #listen (port: number): Promise<number> {
     this.#server = createServer((request, response) => { this.#serve(request, response).catch(() => {}) })
-    this.#server.keepAliveTimeout = STALE_CONNECTION_MILLISECONDS
+    this.#server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MILLISECONDS
     return await listen(this.#server, port, this.#host)
   }
 
@@ -157,29 +157,29 @@
       this.#openWatch(body, response)
       return
     }
-    const call = this.#callOf(path, body)
+    const call = this.#findCall(path, body)
     if (call === undefined) {
-      answer(response, 404, { code: 5, message: 'Not Found' })
+      sendJson(response, 404, { code: 5, message: 'Not Found' })
       return
     }
     this.#counter.count(call.kind)
-    if (this.#isOut(response)) {
+    if (this.#isBlockedByOutage(response)) {
       return
     }
     this.#runCall(call, body, response)
   }
 
-  #callOf (path: string, body: string): Call | undefined {
+  #findCall (path: string, body: string): Call | undefined {
     const call = this.#calls[path]
-    return call !== undefined && path === TRANSACTION_PATH && readsOnly(body) ? { ...call, kind: CallKind.Read } : call
+    return call !== undefined && path === TRANSACTION_PATH && isReadOnlyBody(body) ? { ...call, kind: CallKind.Read } : call
   }
 
   #runCall (call: Call, body: string, response: ServerResponse): void {
     const isRead = call.kind === CallKind.Read
     const delay = isRead ? this.#faults.readDelayMilliseconds : this.#faults.writeDelayMilliseconds
-    if (this.#isOverRate(call.kind)) {
+    if (this.#isOverRateLimit(call.kind)) {
       this.#counter.countRefusedWrite()
-      answer(response, 429, { code: 8, message: 'etcdserver: too many requests' })
+      sendJson(response, 429, { code: 8, message: 'etcdserver: too many requests' })
       return
     }
     if (delay > 0) {
@@ -195,43 +195,43 @@
       if (call.kind === CallKind.Write && this.#loseAnswer(response)) {
         return
       }
-      answer(response, 200, result)
+      sendJson(response, 200, result)
     } catch (error) {
-      refuse(response, error)
+      sendError(response, error)
     }
   }
 
-  /** Whether the answer of this write is lost; the write has taken effect. */
+  /** Loses the answer of a write that has taken effect, if the fault is on. Returns whether it is lost. */
   #loseAnswer (response: ServerResponse): boolean {
     if (this.#faults.loseAnswers === 0) {
       return false
     }
     this.#faults.loseAnswers -= 1
-    if (this.#faults.loseAnswersBy === LostAnswer.Cut) {
+    if (this.#faults.loseAnswersBy === LostAnswerMode.Cut) {
       response.socket?.destroy()
     }
     return true
   }
 
-  #isOverRate (kind: CallKind): boolean {
+  #isOverRateLimit (kind: CallKind): boolean {
     const limit = this.#faults.maximumWritesPerSecond
     return kind === CallKind.Write && limit > 0 && this.#counter.writesThisSecond > limit
   }
 
-  /** Whether an outage keeps this call from any effect. */
-  #isOut (response: ServerResponse): boolean {
+  /** Whether an outage prevents this call from taking effect; answers it if the outage calls for an answer. */
+  #isBlockedByOutage (response: ServerResponse): boolean {
     if (this.#faults.outage === Outage.None) {
       return false
     }
     if (this.#faults.outage === Outage.NoLeader) {
-      answer(response, 503, { code: 14, message: 'etcdserver: no leader' })
+      sendJson(response, 503, { code: 14, message: 'etcdserver: no leader' })
     }
     return true
   }
 
   #openWatch (body: string, response: ServerResponse): void {
     this.#counter.count(CallKind.Watch)
-    if (this.#isOut(response)) {
+    if (this.#isBlockedByOutage(response)) {
       return
     }
     try {
@@ -244,7 +244,7 @@
         this.#counter.changeOpenWatches(-1)
       })
     } catch (error) {
-      refuse(response, error)
+      sendError(response, error)
     }
   }
 
@@ -272,19 +272,19 @@
     }
     const handler = handlers[`${request.method ?? ''} ${request.url ?? ''}`]
     if (handler === undefined) {
-      answer(response, 404, { message: `known are ${Object.keys(handlers).join(', ')}` })
+      sendJson(response, 404, { message: `known are ${Object.keys(handlers).join(', ')}` })
       return
     }
     try {
-      answer(response, 200, await handler())
+      sendJson(response, 200, await handler())
     } catch (error) {
-      refuse(response, error)
+      sendError(response, error)
     }
   }
 }
 
-/** Whether a body is that of a transaction which writes nothing; one that is not JSON is refused later. */
-function readsOnly (body: string): boolean {
+/** Whether a body is a transaction that writes nothing. A body that is not JSON is rejected later. */
+function isReadOnlyBody (body: string): boolean {
   try {
     return isReadOnly(JSON.parse(body) as TransactionRequest)
   } catch {
@@ -315,7 +315,7 @@
   let bytes = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     bytes += chunk.length
-    if (bytes > MAXIMUM_BODY_BYTES) {
+    if (bytes > MAX_BODY_BYTES) {
       request.destroy()
     }
     chunks.push(chunk)
@@ -323,16 +323,16 @@
   return Buffer.concat(chunks).toString('utf8')
 }
 
-function answer (response: ServerResponse, status: number, body: object): void {
+function sendJson (response: ServerResponse, status: number, body: object): void {
   const text = JSON.stringify(body)
   response.writeHead(status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) })
   response.end(text)
 }
 
-function refuse (response: ServerResponse, error: unknown): void {
+function sendError (response: ServerResponse, error: unknown): void {
   if (error instanceof GatewayRefusal) {
-    answer(response, error.status, { error: error.message, code: error.code, message: error.message })
+    sendJson(response, error.status, { error: error.message, code: error.code, message: error.message })
     return
   }
-  answer(response, 400, { code: 3, message: error instanceof Error ? error.message : String(error) })
+  sendJson(response, 400, { code: 3, message: error instanceof Error ? error.message : String(error) })
 }
--- a/packages/standins/src/keyvaluefaults.ts
+++ b/packages/standins/src/keyvaluefaults.ts
@@ -1,21 +1,21 @@
-/** Faults of the key-value stand-in and the count of its calls. */
+/** Faults of the key-value stand-in and the counts of its calls. */
 
-/** How the stand-in is out of order. */
+/** Outage of the stand-in. */
 export enum Outage {
   None = 'none',
-  /** Nothing listens: connections are refused, and open ones are cut. */
+  /** The port is closed: new connections are refused and open ones are closed. */
   Refuse = 'refuse',
-  /** Calls are taken and never answered, and have no effect. */
+  /** Calls are accepted, never answered, and have no effect. */
   Hang = 'hang',
   /** Calls are answered with status 503 and have no effect. */
   NoLeader = 'noLeader'
 }
 
 /** How the answer of a write that took effect is lost. */
-export enum LostAnswer {
-  /** The connection is cut. */
+export enum LostAnswerMode {
+  /** The connection is closed. */
   Cut = 'cut',
-  /** The connection stays open and silent. */
+  /** The connection stays open and carries no answer. */
   Hang = 'hang'
 }
 
@@ -26,18 +26,18 @@
   writeDelayMilliseconds: number
   /** Delay of each event of a watch. */
   watchDelayMilliseconds: number
-  /** The answers of this many writes to come are lost, after the write took effect. */
+  /** Number of coming writes whose answers are lost after they took effect. */
   loseAnswers: number
-  loseAnswersBy: LostAnswer
-  /** Reads give the state as of this many revisions ago. */
+  loseAnswersBy: LostAnswerMode
+  /** Reads return the state as of this many revisions ago. */
   staleRevisions: number
-  /** Watches stay open and report nothing. */
+  /** Watches stay open and report no events. */
   dropWatchEvents: boolean
-  /** Writes above this rate are refused with status 429; 0 for no limit. */
+  /** Writes above this rate are rejected with status 429; 0 for no limit. */
   maximumWritesPerSecond: number
 }
 
-/** Calls that the service counts; a waiting watch is one. */
+/** Kinds of call that are counted. A watch counts once, when it opens. */
 export enum CallKind {
   Read = 'reads',
   Write = 'writes',
@@ -45,7 +45,7 @@
   Watch = 'watchesOpened'
 }
 
-/** Counts of one second, or of the whole time. */
+/** Call counts of one second or of the whole run. */
 export interface CallTotals {
   reads: number
   writes: number
@@ -53,9 +53,9 @@
   watchesOpened: number
 }
 
-/** Counts of one second. */
+/** Call counts of one second. */
 export interface CallSecond extends CallTotals {
-  /** Seconds since 1970. */
+  /** Unix time in seconds. */
   second: number
   watchesOpen: number
 }
@@ -63,18 +63,18 @@
 /** Answer to `GET /standin/calls`. */
 export interface CallReport extends CallTotals {
   watchesOpen: number
-  /** Writes refused because of their rate. */
+  /** Writes rejected because of their rate. */
   refusedWrites: number
   /** Bytes of the values in the answers to reads and transactions; watches are not counted. */
   valueBytesRead: number
-  /** The last seconds in which there was a call, oldest first. */
+  /** The latest seconds with at least one call, oldest first. */
   perSecond: CallSecond[]
 }
 
 const KEPT_SECONDS = 300
 const MILLISECONDS_PER_SECOND = 1000
 
-/** A stand-in without faults. */
+/** All faults switched off. */
 export function noFaults (): KeyValueFaults {
   return {
     outage: Outage.None,
@@ -82,14 +82,14 @@
     writeDelayMilliseconds: 0,
     watchDelayMilliseconds: 0,
     loseAnswers: 0,
-    loseAnswersBy: LostAnswer.Cut,
+    loseAnswersBy: LostAnswerMode.Cut,
     staleRevisions: 0,
     dropWatchEvents: false,
     maximumWritesPerSecond: 0
   }
 }
 
-/** Checks faults that came as JSON; throws a `TypeError` that names what is wrong. */
+/** Validates faults received as JSON. Throws a `TypeError` that names the invalid fault. */
 export function parseFaults (input: unknown): Partial<KeyValueFaults> {
   if (typeof input !== 'object' || input === null || Array.isArray(input)) {
     throw new TypeError('faults must be a JSON object')
@@ -113,14 +113,14 @@
   }
   const choices: Partial<Record<keyof KeyValueFaults, string[]>> = {
     outage: Object.values(Outage),
-    loseAnswersBy: Object.values(LostAnswer)
+    loseAnswersBy: Object.values(LostAnswerMode)
   }
   if (choices[name]?.includes(String(value)) === false) {
     throw new TypeError(`fault ${name} must be one of ${choices[name].join(', ')}`)
   }
 }
 
-/** Counts calls by kind, in all and for each of the last seconds. */
+/** Counts calls by kind, in total and for each of the latest seconds. */
 export class CallCounter {
   readonly #now: () => number
   readonly #totals: CallTotals = { reads: 0, writes: 0, leases: 0, watchesOpened: 0 }
@@ -129,7 +129,7 @@
   #refusedWrites = 0
   #valueBytesRead = 0
 
-  /** @param now clock in milliseconds since 1970 */
+  /** @param now clock in Unix milliseconds */
   constructor (now: () => number) {
     this.#now = now
   }
@@ -140,13 +140,13 @@
     this.#current()[kind] += 1
   }
 
-  /** Counts a watch that opened (1) or ended (-1). */
+  /** Counts a watch that opened (1) or closed (-1). */
   changeOpenWatches (change: 1 | -1): void {
     this.#watchesOpen += change
     this.#current().watchesOpen = this.#watchesOpen
   }
 
-  /** Counts a write refused because of its rate. */
+  /** Counts a write rejected because of its rate. */
   countRefusedWrite (): void {
     this.#refusedWrites += 1
   }
@@ -156,7 +156,7 @@
     this.#valueBytesRead += bytes
   }
 
-  /** Writes of the current second so far. */
+  /** Writes in the current second so far. */
   get writesThisSecond (): number {
     return this.#current().writes
   }
--- a/packages/standins/src/keyvaluegateway.ts
+++ b/packages/standins/src/keyvaluegateway.ts
@@ -1,8 +1,8 @@
-/** Operations of the key-value stand-in, in the terms of the published JSON gateway. */
+/** Operations of the key-value stand-in, with the request and response bodies of the published JSON gateway. */
 import type { KeyValueState, StoredVersion } from './keyvaluestate.ts'
 import { NO_LEASE } from './keyvaluestate.ts'
 
-/** A number as the gateway takes it: text or a plain number. */
+/** An integer as the gateway accepts it: a string or a number. */
 type Integer = string | number
 
 /** Body of a range. */
@@ -52,7 +52,7 @@
   failure?: Operation[]
 }
 
-/** A request that the service refuses, with its status and code. */
+/** A request that the service rejects, with the HTTP status and the gateway's code. */
 export class GatewayRefusal extends Error {
   override readonly name = 'GatewayRefusal'
   readonly status: number
@@ -65,14 +65,14 @@
   }
 }
 
-/** Largest value, in bytes. */
-const MAXIMUM_VALUE_BYTES = 1_048_576
+/** Maximum size of a value, in bytes. */
+const MAX_VALUE_BYTES = 1_048_576
 
 const INVALID_ARGUMENT = 3
 const NOT_FOUND = 5
 const OUT_OF_RANGE = 11
 
-/** Text of a key in base64. Keys are compared as text, which is their byte order for ASCII. */
+/** Decodes a key from base64. Keys are compared as strings, which for ASCII is byte order. */
 export function decodeKey (key: unknown): string {
   if (typeof key !== 'string' || key === '') {
     throw new GatewayRefusal(400, INVALID_ARGUMENT, 'etcdserver: key is not provided')
@@ -80,7 +80,7 @@
   return Buffer.from(key, 'base64').toString('utf8')
 }
 
-/** Which keys a request is about: one, or the range up to its end, or all from it on. */
+/** Predicate for the keys of a request: one key, a range with an exclusive end, or all keys from `key` on. */
 export function keyMatcher (key: unknown, rangeEnd: string | undefined): (candidate: string) => boolean {
   const first = decodeKey(key)
   if (rangeEnd === undefined || rangeEnd === '') {
@@ -93,7 +93,7 @@
   return (candidate) => candidate >= first && candidate < end
 }
 
-/** One stored state as the gateway writes it. */
+/** Encodes one version of a key as the gateway does. */
 export function encodeVersion (version: StoredVersion): object {
   const key = Buffer.from(version.key, 'utf8').toString('base64')
   if (version.value === undefined) {
@@ -109,27 +109,27 @@
   }
 }
 
-/** Header of an answer. */
+/** Header of a response. */
 export function header (revision: number): object {
   return { cluster_id: '1', member_id: '1', revision: String(revision), raft_term: '1' }
 }
 
-/** The operations, over one state. */
+/** Executes requests on one state. */
 export class KeyValueGateway {
   readonly #state: KeyValueState
   readonly #onValueRead: (bytes: number) => void
 
-  /** @param onValueRead told of the bytes of each value in an answer */
+  /** @param onValueRead called with the size in bytes of each value in a response */
   constructor (state: KeyValueState, onValueRead: (bytes: number) => void) {
     this.#state = state
     this.#onValueRead = onValueRead
   }
 
-  /** Range, as of `staleRevisions` revisions ago. */
+  /** Lists a range. Unless the request names a revision, the state is that of `staleRevisions` revisions ago. */
   range (request: RangeRequest, staleRevisions: number): object {
-    const asked = Number(request.revision ?? 0)
+    const requested = Number(request.revision ?? 0)
     const current = this.#state.revision
-    const revision = asked > 0 ? asked : this.#revisionBefore(staleRevisions)
+    const revision = requested > 0 ? requested : this.#revisionBefore(staleRevisions)
     if (revision < this.#state.compactRevision) {
       throw new GatewayRefusal(400, OUT_OF_RANGE, 'etcdserver: mvcc: required revision has been compacted')
     }
@@ -138,35 +138,35 @@
       all.reverse()
     }
     const limit = Number(request.limit ?? 0)
-    const some = limit > 0 ? all.slice(0, limit) : all
-    some.forEach(({ value }) => { this.#onValueRead(value?.length ?? 0) })
+    const limited = limit > 0 ? all.slice(0, limit) : all
+    limited.forEach(({ value }) => { this.#onValueRead(value?.length ?? 0) })
     return {
-      header: header(asked > 0 ? current : revision),
-      ...(some.length === 0 ? {} : { kvs: some.map(encodeVersion) }),
-      ...(some.length < all.length ? { more: true } : {}),
+      header: header(requested > 0 ? current : revision),
+      ...(limited.length === 0 ? {} : { kvs: limited.map(encodeVersion) }),
+      ...(limited.length < all.length ? { more: true } : {}),
       count: String(all.length)
     }
   }
 
-  /** Put. */
+  /** Writes a key. */
   put (request: PutRequest): object {
     this.#checkPut(request)
     this.#state.transact(() => { this.#applyPut(request) })
     return { header: header(this.#state.revision) }
   }
 
-  /** Deletion. */
+  /** Deletes a key or a range. */
   delete (request: DeleteRequest): object {
     const deleted = this.#state.transact(() => this.#applyDelete(request))
     return { header: header(this.#state.revision), deleted: String(deleted) }
   }
 
-  /** Transaction; one that only reads is as of `staleRevisions` revisions ago. */
+  /** Executes a transaction. A read-only one uses the state of `staleRevisions` revisions ago. */
   transact (request: TransactionRequest, staleRevisions: number): object {
     const operations = [...request.success ?? [], ...request.failure ?? []]
     operations.forEach((operation) => { this.#check(operation) })
-    refuseRepeatedKeys(request.success ?? [])
-    refuseRepeatedKeys(request.failure ?? [])
+    rejectDuplicateKeys(request.success ?? [])
+    rejectDuplicateKeys(request.failure ?? [])
     const stale = isReadOnly(request) ? staleRevisions : 0
     const asOf = this.#revisionBefore(stale)
     const succeeded = (request.compare ?? []).every((compare) => this.#holds(compare, asOf))
@@ -179,7 +179,7 @@
     }
   }
 
-  /** Grant of a lease. */
+  /** Grants a lease. */
   grant (request: { TTL?: Integer, ID?: Integer }): object {
     const seconds = Number(request.TTL ?? 0)
     if (!(seconds > 0)) {
@@ -189,7 +189,7 @@
     return { header: header(this.#state.revision), ID: lease, TTL: String(seconds) }
   }
 
-  /** Renewal of a lease. */
+  /** Renews a lease. The result has no TTL when the lease does not exist. */
   keepAlive (request: { ID?: Integer }): object {
     const lease = String(request.ID ?? NO_LEASE)
     const seconds = this.#state.keepAlive(lease)
@@ -198,7 +198,7 @@
     }
   }
 
-  /** End of a lease. */
+  /** Revokes a lease. */
   revoke (request: { ID?: Integer }): object {
     if (!this.#state.revoke(String(request.ID ?? NO_LEASE))) {
       throw new GatewayRefusal(404, NOT_FOUND, 'etcdserver: requested lease not found')
@@ -218,7 +218,7 @@
 
   #checkPut (request: PutRequest): void {
     decodeKey(request.key)
-    if (Buffer.byteLength(request.value ?? '', 'base64') > MAXIMUM_VALUE_BYTES) {
+    if (Buffer.byteLength(request.value ?? '', 'base64') > MAX_VALUE_BYTES) {
       throw new GatewayRefusal(400, INVALID_ARGUMENT, 'etcdserver: request is too large')
     }
     const lease = String(request.lease ?? NO_LEASE)
@@ -270,13 +270,13 @@
   }
 }
 
-/** Whether no branch of a transaction writes: the service then serves it as a read. */
+/** Whether neither branch of a transaction writes. The service treats such a transaction as a read. */
 export function isReadOnly (request: TransactionRequest): boolean {
   const operations = [...request.success ?? [], ...request.failure ?? []]
   return operations.every((operation) => operation.request_range !== undefined)
 }
 
-function refuseRepeatedKeys (operations: readonly Operation[]): void {
+function rejectDuplicateKeys (operations: readonly Operation[]): void {
   const keys = operations.flatMap((operation) => operation.request_put?.key ?? [])
   if (new Set(keys).size < keys.length) {
     throw new GatewayRefusal(400, INVALID_ARGUMENT, 'etcdserver: duplicate key given in txn request')
--- a/packages/standins/src/keyvaluemain.ts
+++ b/packages/standins/src/keyvaluemain.ts
@@ -1,16 +1,16 @@
 /**
- * The key-value stand-in as a process of its own. It prints one JSON line with its ports when it is
- * ready, and ends on SIGTERM or SIGINT.
+ * Runs the key-value stand-in as a process. It prints one JSON line with its ports when it is ready,
+ * and stops on SIGTERM or SIGINT.
  */
 import { parseArgs } from 'node:util'
 import { KeyValueStandIn } from './keyvalue.ts'
 
 const { values } = parseArgs({
   options: {
-    /** Port of the calls; 0 for any free one. */
+    /** Port for calls; 0 lets the system pick one. */
     port: { type: 'string', default: '2379' },
     host: { type: 'string', default: '127.0.0.1' },
-    /** Port for faults and counts alone, which goes on while the calls' port is refused. */
+    /** Port for faults and counts only, which stays open while the port for calls is closed. */
     'control-port': { type: 'string', default: '0' }
   }
 })
--- a/packages/standins/src/keyvaluestate.ts
+++ b/packages/standins/src/keyvaluestate.ts
@@ -1,6 +1,6 @@
-/** State of the key-value stand-in: revisions, leases and watchers, all in memory. */
+/** In-memory state of the key-value stand-in: revisions, leases and change listeners. */
 
-/** One state of one key. */
+/** One version of a key. */
 export interface StoredVersion {
   key: string
   /** Undefined marks a deletion. */
@@ -20,15 +20,15 @@
   keys: Set<string>
 }
 
-/** What a watcher of the state is told: all changes of one revision. */
+/** Called with all changes of one revision. */
 export type ChangeListener = (changes: readonly StoredVersion[]) => void
 
-/** No lease. */
+/** Lease id of a key that is attached to no lease. */
 export const NO_LEASE = '0'
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Keys with their past states; each change of the state raises the revision by one. */
+/** Keys with their past versions. Each transaction that changes a key raises the revision by one. */
 export class KeyValueState {
   readonly #versions = new Map<string, StoredVersion[]>()
   readonly #leases = new Map<string, Lease>()
@@ -41,7 +41,7 @@
   #nextLease = 7_587_848_943_239_472_600n
 
   /**
-   * @param keptRevisions past revisions that can still be read and watched
+   * @param keptRevisions number of past revisions that can still be read and watched
    * @param now clock in milliseconds, for leases
    */
   constructor (keptRevisions: number, now: () => number) {
@@ -54,19 +54,19 @@
     return this.#revision
   }
 
-  /** Changes up to this revision are no longer kept. */
+  /** Changes up to this revision have been discarded. */
   get compactRevision (): number {
     return this.#compactRevision
   }
 
-  /** The state of a key as of `revision`; undefined when it did not exist. */
+  /** The version of a key as of `revision`; undefined when the key did not exist. */
   get (key: string, revision = this.#revision): StoredVersion | undefined {
     const versions = this.#versions.get(key) ?? []
     const last = versions.findLast((version) => version.modRevision <= revision)
     return last?.value === undefined ? undefined : last
   }
 
-  /** Existing keys that `matches` accepts, in order, as of `revision`. */
+  /** Keys that existed as of `revision` and that `matches` accepts, sorted. */
   list (matches: (key: string) => boolean, revision = this.#revision): StoredVersion[] {
     const found: StoredVersion[] = []
     for (const key of [...this.#versions.keys()].filter(matches).sort()) {
@@ -78,7 +78,7 @@
     return found
   }
 
-  /** Runs `change`, whose puts and deletions take effect together, as one revision. */
+  /** Runs `change`; its puts and deletions form one revision, which is then passed to the listeners. */
   transact<Outcome> (change: () => Outcome): Outcome {
     const outcome = change()
     const changes = this.#pending
@@ -94,13 +94,13 @@
     return outcome
   }
 
-  /** Writes a key; only inside `transact`. */
+  /** Writes a key. Must be called inside `transact`. */
   put (key: string, value: Buffer, lease = NO_LEASE): void {
     const modRevision = this.#revision + 1
     const present = this.get(key, modRevision)
-    this.#detach(present)
+    this.#detachFromLease(present)
     this.#leases.get(lease)?.keys.add(key)
-    this.#append({
+    this.#appendVersion({
       key,
       value,
       createRevision: present?.createRevision ?? modRevision,
@@ -110,21 +110,21 @@
     })
   }
 
-  /** Deletes a key and says whether it existed; only inside `transact`. */
+  /** Deletes a key and returns whether it existed. Must be called inside `transact`. */
   delete (key: string): boolean {
     const modRevision = this.#revision + 1
     const present = this.get(key, modRevision)
     if (present === undefined) {
       return false
     }
-    this.#detach(present)
-    this.#append({ key, value: undefined, createRevision: 0, modRevision, version: 0, lease: NO_LEASE })
+    this.#detachFromLease(present)
+    this.#appendVersion({ key, value: undefined, createRevision: 0, modRevision, version: 0, lease: NO_LEASE })
     return true
   }
 
-  /** Grants a lease and gives its number. */
-  grant (seconds: number, wanted = NO_LEASE): string {
-    const lease = wanted === NO_LEASE ? String(this.#nextLease++) : wanted
+  /** Grants a lease and returns its id, which is `requestedId` if given. */
+  grant (seconds: number, requestedId = NO_LEASE): string {
+    const lease = requestedId === NO_LEASE ? String(this.#nextLease++) : requestedId
     const expiresAt = this.#now() + seconds * MILLISECONDS_PER_SECOND
     this.#leases.set(lease, { seconds, expiresAt, keys: new Set() })
     return lease
@@ -135,7 +135,7 @@
     return this.#leases.has(lease)
   }
 
-  /** Renews a lease and gives its time to live in seconds; 0 when there is none. */
+  /** Renews a lease and returns its time to live in seconds, or 0 when the lease does not exist. */
   keepAlive (lease: string): number {
     const present = this.#leases.get(lease)
     if (present === undefined) {
@@ -145,7 +145,7 @@
     return present.seconds
   }
 
-  /** Ends a lease, deletes its keys, and says whether it existed. */
+  /** Revokes a lease, deletes its keys, and returns whether it existed. */
   revoke (lease: string): boolean {
     const present = this.#leases.get(lease)
     if (present === undefined) {
@@ -156,7 +156,7 @@
     return true
   }
 
-  /** Ends the leases whose time is over. */
+  /** Revokes the leases that have expired. */
   expireLeases (): void {
     for (const [lease, { expiresAt }] of [...this.#leases]) {
       if (expiresAt <= this.#now()) {
@@ -165,12 +165,12 @@
     }
   }
 
-  /** Forgets the changes up to `revision`, but for the state they left behind. */
+  /** Discards the changes up to `revision`, except for the state as of that revision. */
   compact (revision: number): void {
     this.#compactTo(Math.min(revision, this.#revision))
   }
 
-  /** Kept changes from `revision` on, in order. */
+  /** Retained changes from `revision` on, in order of revision. */
   changesFrom (revision: number, matches: (key: string) => boolean): StoredVersion[] {
     return [...this.#versions.entries()]
       .filter(([key]) => matches(key))
@@ -178,20 +178,20 @@
       .sort((one, other) => one.modRevision - other.modRevision)
   }
 
-  /** Calls `listener` after each change, until the returned function is called. */
+  /** Calls `listener` after each revision, until the returned function is called. */
   listen (listener: ChangeListener): () => void {
     this.#listeners.add(listener)
     return () => { this.#listeners.delete(listener) }
   }
 
-  #append (version: StoredVersion): void {
+  #appendVersion (version: StoredVersion): void {
     const versions = this.#versions.get(version.key) ?? []
     versions.push(version)
     this.#versions.set(version.key, versions)
     this.#pending.push(version)
   }
 
-  #detach (version: StoredVersion | undefined): void {
+  #detachFromLease (version: StoredVersion | undefined): void {
     if (version !== undefined) {
       this.#leases.get(version.lease)?.keys.delete(version.key)
     }
--- a/packages/standins/src/keyvaluewatch.ts
+++ b/packages/standins/src/keyvaluewatch.ts
@@ -10,7 +10,7 @@
   create_request?: { key: string, range_end?: string, start_revision?: string | number }
 }
 
-/** Reports changes as JSON lines until the connection ends. */
+/** Sends changes as JSON lines until the connection closes. */
 export class KeyValueWatch {
   readonly #state: KeyValueState
   readonly #faults: () => KeyValueFaults
@@ -24,11 +24,11 @@
     this.#faults = faults
     this.#response = response
     this.#matches = keyMatcher(request.create_request?.key, request.create_request?.range_end)
-    const asked = Number(request.create_request?.start_revision ?? 0)
-    this.#fromRevision = asked > 0 ? asked : state.revision + 1
+    const requested = Number(request.create_request?.start_revision ?? 0)
+    this.#fromRevision = requested > 0 ? requested : state.revision + 1
   }
 
-  /** Confirms the watch, reports kept changes, then new ones. */
+  /** Confirms the watch, then sends retained changes and new ones. A watch from a compacted revision is cancelled. */
   open (onClose: () => void): void {
     this.#response.writeHead(200, { 'content-type': 'application/json' })
     this.#write({ created: true })
@@ -47,7 +47,7 @@
     })
   }
 
-  /** Cuts the connection. */
+  /** Closes the connection. */
   cut (): void {
     this.#response.socket?.destroy()
   }
@@ -71,7 +71,7 @@
     this.#timers.add(timer)
   }
 
-  /** Events that are due while the stand-in is out of order are lost. */
+  /** Sends events. Those that are due during an outage are lost. */
   #deliver (events: object[]): void {
     const { dropWatchEvents, outage } = this.#faults()
     if (!dropWatchEvents && outage === Outage.None) {
--- a/packages/standins/src/cutter.ts
+++ b/packages/standins/src/linkrelay.ts
@@ -14,11 +14,11 @@
   /** Connections are reset, new ones too. */
   Cut = 'cut',
   /** Nothing that the dialling side sends arrives. */
-  SilentToServer = 'silentToServer',
+  StalledToServer = 'silentToServer',
   /** Nothing that the listening side sends arrives. */
-  SilentToClient = 'silentToClient',
+  StalledToClient = 'silentToClient',
   /** Nothing arrives either way. */
-  Silent = 'silent'
+  Stalled = 'silent'
 }
 
 /** A link's rate, shared by all relays that stand for connections over that link. */
@@ -45,26 +45,26 @@
   from: Socket
   to: Socket
   /** States in which this direction is silent. */
-  silentIn: ReadonlySet<LinkState>
+  stalledIn: ReadonlySet<LinkState>
   /** How `from` closed while the direction was silent; passed on when it is no more. */
-  heldClosing?: () => void
+  heldClose?: () => void
   /** Bytes are on their way over a link with a rate. */
   busy?: boolean
   /** It carries nothing any more, though newer connections do. */
-  stranded?: boolean
+  stalled?: boolean
 }
 
-const SILENT_TO_SERVER: ReadonlySet<LinkState> = new Set([LinkState.Silent, LinkState.SilentToServer])
-const SILENT_TO_CLIENT: ReadonlySet<LinkState> = new Set([LinkState.Silent, LinkState.SilentToClient])
+const STALLED_TO_SERVER: ReadonlySet<LinkState> = new Set([LinkState.Stalled, LinkState.StalledToServer])
+const STALLED_TO_CLIENT: ReadonlySet<LinkState> = new Set([LinkState.Stalled, LinkState.StalledToClient])
 
 /** A relay from a port of its own to a port on the loopback. */
-export class LinkCutter {
+export class LinkRelay {
   readonly #upstreamPort: number
   readonly #server: Server
   readonly #pipes = new Set<Pipe>()
   #state = LinkState.Open
   #accepted = 0
-  #relayed = 0
+  #relayedBytes = 0
   readonly #rate: LinkRate | undefined
 
   /** @param rate of the link on which the dialling side receives; any without it */
@@ -93,8 +93,8 @@
   }
 
   /** Bytes passed on to the dialling side so far. */
-  get relayed (): number {
-    return this.#relayed
+  get relayedBytes (): number {
+    return this.#relayedBytes
   }
 
   /** Starts listening, again after {@link close}; port 0 lets the system pick one. Resolves to the port. */
@@ -117,15 +117,15 @@
   }
 
   /** Lets nothing through in the given directions; connections stay open. */
-  freeze (state: LinkState.Silent | LinkState.SilentToServer | LinkState.SilentToClient = LinkState.Silent): void {
+  stall (state: LinkState.Stalled | LinkState.StalledToServer | LinkState.StalledToClient = LinkState.Stalled): void {
     this.#state = state
     for (const pipe of this.#pipes) this.#apply(pipe)
   }
 
   /** Connections that are open now carry nothing any more, without any sign; new ones work. */
-  strand (): void {
+  stallOpenConnections (): void {
     for (const pipe of this.#pipes) {
-      pipe.stranded = true
+      pipe.stalled = true
       this.#apply(pipe)
     }
   }
@@ -152,25 +152,25 @@
     }
     const server = connect({ host: LOOPBACK, port: this.#upstreamPort, allowHalfOpen: true, noDelay: true })
     client.setNoDelay(true)
-    this.#relay({ from: client, to: server, silentIn: SILENT_TO_SERVER })
-    this.#relay({ from: server, to: client, silentIn: SILENT_TO_CLIENT })
+    this.#relay({ from: client, to: server, stalledIn: STALLED_TO_SERVER })
+    this.#relay({ from: server, to: client, stalledIn: STALLED_TO_CLIENT })
   }
 
   #relay (pipe: Pipe): void {
     const { from, to } = pipe
     this.#pipes.add(pipe)
-    from.on('data', bytes => this.#carry(pipe, bytes))
+    from.on('data', bytes => this.#forwardBytes(pipe, bytes))
     to.on('drain', () => this.#apply(pipe))
-    from.on('end', () => this.#pass(pipe, () => to.end()))
-    from.on('error', () => this.#pass(pipe, () => to.resetAndDestroy()))
-    from.on('close', () => this.#pass(pipe, () => this.#finish(pipe)))
+    from.on('end', () => this.#forwardClose(pipe, () => to.end()))
+    from.on('error', () => this.#forwardClose(pipe, () => to.resetAndDestroy()))
+    from.on('close', () => this.#forwardClose(pipe, () => this.#removePipe(pipe)))
     this.#apply(pipe)
   }
 
-  #carry (pipe: Pipe, bytes: Buffer): void {
-    const { from, to, silentIn } = pipe
-    const toClient = silentIn === SILENT_TO_CLIENT
-    if (toClient) this.#relayed += bytes.length
+  #forwardBytes (pipe: Pipe, bytes: Buffer): void {
+    const { from, to, stalledIn: silentIn } = pipe
+    const toClient = silentIn === STALLED_TO_CLIENT
+    if (toClient) this.#relayedBytes += bytes.length
     if (!toClient || this.#rate === undefined) {
       if (!to.write(bytes)) from.pause()
       return
@@ -184,32 +184,32 @@
   }
 
   /** Carries a closing out, or holds it while the direction is silent. */
-  #pass (pipe: Pipe, closing: () => void): void {
-    if (!this.#isSilent(pipe)) return closing()
-    const earlier = pipe.heldClosing
-    pipe.heldClosing = () => {
-      earlier?.()
-      closing()
+  #forwardClose (pipe: Pipe, close: () => void): void {
+    if (!this.#isStalled(pipe)) return close()
+    const earlierClose = pipe.heldClose
+    pipe.heldClose = () => {
+      earlierClose?.()
+      close()
     }
   }
 
-  #finish (pipe: Pipe): void {
+  #removePipe (pipe: Pipe): void {
     this.#pipes.delete(pipe)
     if (pipe.from.destroyed && !pipe.to.writableEnded) pipe.to.destroySoon()
   }
 
   #apply (pipe: Pipe): void {
-    if (this.#isSilent(pipe)) {
+    if (this.#isStalled(pipe)) {
       pipe.from.pause()
       return
     }
-    pipe.heldClosing?.()
-    delete pipe.heldClosing
+    pipe.heldClose?.()
+    delete pipe.heldClose
     if (pipe.busy !== true) pipe.from.resume()
   }
 
-  #isSilent (pipe: Pipe): boolean {
-    return pipe.stranded === true || pipe.silentIn.has(this.#state)
+  #isStalled (pipe: Pipe): boolean {
+    return pipe.stalled === true || pipe.stalledIn.has(this.#state)
   }
 }
 
--- a/packages/standins/src/load.ts
+++ b/packages/standins/src/load.ts
@@ -27,7 +27,7 @@
   /** Seconds between bursts; 0 for none. @default 5 */
   burstEvery?: number
   /** Part of all jobs that come in bursts, 0 to 1. @default 0.2 */
-  burstPart?: number
+  burstFraction?: number
   /** Start of the job ids, so that two loads do not share any. @default `load-{seed}` */
   prefix?: string
   classes?: readonly LoadClass[]
@@ -46,18 +46,18 @@
 ]
 
 /** Task counts: each line is a part of all jobs and its range. The largest job has 140 tasks. */
-const TASK_COUNTS: ReadonlyArray<{ upTo: number, low: number, high: number }> = [
-  { upTo: 0.6, low: 1, high: 1 },
-  { upTo: 0.9, low: 2, high: 8 },
-  { upTo: 0.98, low: 9, high: 40 },
-  { upTo: 1, low: 41, high: 140 }
+const TASK_COUNTS: ReadonlyArray<{ cumulativeFraction: number, low: number, high: number }> = [
+  { cumulativeFraction: 0.6, low: 1, high: 1 },
+  { cumulativeFraction: 0.9, low: 2, high: 8 },
+  { cumulativeFraction: 0.98, low: 9, high: 40 },
+  { cumulativeFraction: 1, low: 41, high: 140 }
 ]
 
-const MOST_TASKS = 140
-const SHORTEST_RUN = 50
-const LONGEST_COMMON_RUN = 1_000
-const LONGEST_RUN = 5_000
-const LONG_RUN_PART = 0.01
+const MAX_TASKS = 140
+const MIN_RUN = 50
+const MAX_COMMON_RUN = 1_000
+const MAX_RUN = 5_000
+const LONG_RUN_FRACTION = 0.01
 /** Declared run times are off by up to this factor either way. */
 const DECLARATION_ERROR = 4
 const BURST_SPREAD = 50
@@ -67,10 +67,10 @@
   const { seed, rate, seconds, scale = 1, prefix = `load-${seed}`, classes = LOAD_CLASSES } = options
   const random = new SeededRandom(seed)
   const count = Math.max(1, Math.round(rate * seconds))
-  const times = Array.from({ length: count }, () => lodgingTime(options, random)).sort((a, b) => a - b)
+  const times = Array.from({ length: count }, () => submissionTime(options, random)).sort((a, b) => a - b)
   const largest = Math.floor(count / 2)
   return times.map((at, index) => {
-    const tasks = index === largest ? MOST_TASKS : taskCount(random)
+    const tasks = index === largest ? MAX_TASKS : taskCount(random)
     return { at, submission: newJob(`${prefix}-${index}`, random.pick(classes), tasks, scale, random) }
   })
 }
@@ -78,27 +78,27 @@
 /** Lodges the jobs at their times. Resolves when each is answered or given up. */
 export async function runLoad (plan: readonly PlannedJob[], caller: Caller): Promise<void> {
   const startedAt = performance.now()
-  const open: Array<Promise<unknown>> = []
+  const pending: Array<Promise<unknown>> = []
   for (const { at, submission } of plan) {
     const wait = startedAt + at - performance.now()
     if (wait > 1) await delay(wait)
-    open.push(caller.submit({ ...submission, lodgedAt: Date.now() }))
+    pending.push(caller.submit({ ...submission, lodgedAt: Date.now() }))
   }
-  await Promise.all(open)
+  await Promise.all(pending)
 }
 
-function lodgingTime (options: LoadOptions, random: SeededRandom): number {
-  const { seconds, burstEvery = 5, burstPart = 0.2 } = options
+function submissionTime (options: LoadOptions, random: SeededRandom): number {
+  const { seconds, burstEvery = 5, burstFraction = 0.2 } = options
   const bursts = burstEvery > 0 ? Math.floor(seconds / burstEvery) : 0
-  if (bursts === 0 || random.next() >= burstPart) return random.next() * seconds * 1000
+  if (bursts === 0 || random.next() >= burstFraction) return random.next() * seconds * 1000
   const burst = random.integer(0, bursts - 1)
   return (burst + 0.5) * burstEvery * 1000 + random.next() * BURST_SPREAD
 }
 
 function taskCount (random: SeededRandom): number {
-  const part = random.next()
-  const line = TASK_COUNTS.find(({ upTo }) => part < upTo)
-  return line === undefined ? 1 : random.integer(line.low, line.high)
+  const fraction = random.next()
+  const range = TASK_COUNTS.find(({ cumulativeFraction }) => fraction < cumulativeFraction)
+  return range === undefined ? 1 : random.integer(range.low, range.high)
 }
 
 function newJob (job: string, kind: LoadClass, tasks: number, scale: number, random: SeededRandom): JobSubmission {
@@ -111,10 +111,10 @@
 }
 
 function newTask (scale: number, random: SeededRandom): TaskSubmission {
-  const isLong = random.next() < LONG_RUN_PART
+  const isLong = random.next() < LONG_RUN_FRACTION
   const run = isLong
-    ? random.logarithmic(LONGEST_COMMON_RUN, LONGEST_RUN)
-    : random.logarithmic(SHORTEST_RUN, LONGEST_COMMON_RUN)
+    ? random.logarithmic(MAX_COMMON_RUN, MAX_RUN)
+    : random.logarithmic(MIN_RUN, MAX_COMMON_RUN)
   const runMilliseconds = Math.max(1, Math.round(run * scale))
   const declared = runMilliseconds * random.logarithmic(1 / DECLARATION_ERROR, DECLARATION_ERROR)
   return { payload: { runMilliseconds }, runMilliseconds: Math.max(1, Math.round(declared)) }
--- a/packages/standins/src/loadsummary.ts
+++ b/packages/standins/src/loadsummary.ts
@@ -32,10 +32,10 @@
   tenants: Record<string, ResponseSummary>
 }
 
-const HIGHEST_VALUE = 3_600_000_000
+const MAX_VALUE = 3_600_000_000
 const SIGNIFICANT_DIGITS = 3
 /** Histograms hold whole numbers: values are held in thousandths. */
-const THOUSANDTHS = 1_000
+const VALUE_SCALE = 1_000
 
 /**
  * The least response time of a job: its longest task, or all of its tasks over all slots when that
@@ -76,18 +76,18 @@
   for (const record of records) {
     if (record.final?.kind !== 'complete' || record.finishedAt === undefined) continue
     const response = record.finishedAt - record.submittedAt
-    times.recordValue(Math.round(response * THOUSANDTHS))
-    ratios.recordValue(Math.round(response / idealMilliseconds(record, slots) * THOUSANDTHS))
+    times.recordValue(Math.round(response * VALUE_SCALE))
+    ratios.recordValue(Math.round(response / idealMilliseconds(record, slots) * VALUE_SCALE))
   }
   return { responseMilliseconds: percentiles(times), ratio: percentiles(ratios) }
 }
 
 function newHistogram (): Histogram {
-  return build({ highestTrackableValue: HIGHEST_VALUE, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
+  return build({ highestTrackableValue: MAX_VALUE, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS })
 }
 
 function percentiles (histogram: Histogram): Percentiles {
-  const value = (thousandths: number): number => Math.round(thousandths) / THOUSANDTHS
+  const value = (thousandths: number): number => Math.round(thousandths) / VALUE_SCALE
   if (histogram.totalCount === 0) return { count: 0, mean: 0, p50: 0, p90: 0, p99: 0, max: 0 }
   return {
     count: histogram.totalCount,
--- a/packages/standins/src/ports.ts
+++ b/packages/standins/src/ports.ts
@@ -25,7 +25,7 @@
  * each of its blocks open for as long as its process lives: no other picker uses that block.
  */
 export class PortPicker {
-  readonly #claims: Server[] = []
+  readonly #blockClaims: Server[] = []
   #nextBlock = process.pid % blockCount()
   #blocksTried = 0
   #next = 0
@@ -49,7 +49,7 @@
       const claim = await listenOn(first)
       if (claim === undefined) continue
       claim.unref()
-      this.#claims.push(claim)
+      this.#blockClaims.push(claim)
       this.#next = first + 1
       this.#end = first + PORT_BLOCK
       return
--- a/packages/standins/src/processes.ts
+++ b/packages/standins/src/processes.ts
@@ -7,7 +7,7 @@
 import { createInterface } from 'node:readline'
 import type { Readable } from 'node:stream'
 
-import { LAUNCH_TIMEOUT, LOG_LINE_LENGTH, LOG_LINES, POLL_INTERVAL, STOP_TIMEOUT } from './defaults.ts'
+import { LAUNCH_TIMEOUT, MAX_LOG_LINE_LENGTH, MAX_LOG_LINES, POLL_INTERVAL, STOP_TIMEOUT } from './defaults.ts'
 import { waitFor } from './wait.ts'
 
 /** What to launch and when it counts as ready. */
@@ -57,12 +57,12 @@
     this.#ended = new Promise(resolve => {
       this.#child.once('close', () => resolve())
       this.#child.once('error', error => {
-        this.#keep(error.message)
+        this.#appendLogLine(error.message)
         resolve()
       })
     })
-    this.#collect(this.#child.stdout, options.readyLine)
-    this.#collect(this.#child.stderr)
+    this.#collectLines(this.#child.stdout, options.readyLine)
+    this.#collectLines(this.#child.stderr)
   }
 
   get pid (): number {
@@ -128,17 +128,17 @@
     return !killed
   }
 
-  #collect (stream: Readable | null, readyLine?: (line: string) => boolean): void {
+  #collectLines (stream: Readable | null, readyLine?: (line: string) => boolean): void {
     if (stream === null) return
     createInterface({ input: stream }).on('line', line => {
-      this.#keep(line)
+      this.#appendLogLine(line)
       if (readyLine?.(line) === true) this.#readyLineSeen = true
     })
   }
 
-  #keep (line: string): void {
-    this.#log.push(line.slice(0, LOG_LINE_LENGTH))
-    if (this.#log.length > LOG_LINES) this.#log.shift()
+  #appendLogLine (line: string): void {
+    this.#log.push(line.slice(0, MAX_LOG_LINE_LENGTH))
+    if (this.#log.length > MAX_LOG_LINES) this.#log.shift()
   }
 }
 
@@ -146,7 +146,7 @@
 export class ProcessGroup {
   readonly #processes: LaunchedProcess[] = []
   readonly #killAll = (): void => { for (const launched of this.#processes) launched.signal('SIGKILL') }
-  readonly #interrupted = (): void => {
+  readonly #killAllAndExit = (): void => {
     this.#killAll()
     process.exit(130)
   }
@@ -154,9 +154,9 @@
   /** Guards against processes left behind when this one ends by a signal, an exception or `process.exit`. */
   constructor () {
     process.on('exit', this.#killAll)
-    process.on('SIGINT', this.#interrupted)
-    process.on('SIGTERM', this.#interrupted)
-    process.on('SIGHUP', this.#interrupted)
+    process.on('SIGINT', this.#killAllAndExit)
+    process.on('SIGTERM', this.#killAllAndExit)
+    process.on('SIGHUP', this.#killAllAndExit)
   }
 
   /** Starts a process without waiting for anything. */
@@ -195,9 +195,9 @@
       if (!await launched.stop()) killed.push(launched.name)
     }
     process.off('exit', this.#killAll)
-    process.off('SIGINT', this.#interrupted)
-    process.off('SIGTERM', this.#interrupted)
-    process.off('SIGHUP', this.#interrupted)
+    process.off('SIGINT', this.#killAllAndExit)
+    process.off('SIGTERM', this.#killAllAndExit)
+    process.off('SIGHUP', this.#killAllAndExit)
     return killed
   }
 }
--- a/packages/standins/src/records.ts
+++ b/packages/standins/src/records.ts
@@ -50,7 +50,7 @@
 }
 
 /** Kinds of answer on the callers' interface. */
-export enum AnswerWord {
+export enum AnswerKind {
   Complete = 'complete',
   Failed = 'failed',
   MayHaveRun = 'mayHaveRun',
@@ -59,7 +59,7 @@
 
 /** Body of an answer on the callers' interface. */
 export interface AnswerBody {
-  kind: AnswerWord
+  kind: AnswerKind
   job: string
   cause?: string
   detail?: string
--- a/packages/standins/src/runintervals.ts
+++ b/packages/standins/src/runintervals.ts
@@ -28,7 +28,7 @@
  *
  * @param places the runs at each place, in any order
  */
-export function overlapsOf (places: ReadonlyArray<readonly RunInterval[]>): RunOverlap[] {
+export function findOverlaps (places: ReadonlyArray<readonly RunInterval[]>): RunOverlap[] {
   const runs = places.flatMap((intervals, place) => intervals.map(interval => ({ ...interval, place })))
   const latest = new Map<string, PlacedRun>()
   const found: RunOverlap[] = []
--- a/packages/standins/src/target.ts
+++ b/packages/standins/src/target.ts
@@ -1,37 +1,37 @@
 /**
- * Stand-in for a target: runs tasks by waiting, answers results that name their task, and writes
- * down every start and its end. Its records are the evidence that an audit judges by.
+ * Stand-in for a target. It runs a task by waiting, answers with a result that names the task, and
+ * records every start and its end. Audits compare these records with the answers to callers.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
 import {
-  TARGET_BODY_BYTES, TARGET_KEEP_ALIVE, TARGET_RECORDS, TARGET_SLOTS
+  MAX_TARGET_BODY_BYTES, TARGET_KEEP_ALIVE_TIMEOUT, MAX_TARGET_RECORDS, TARGET_SLOTS
 } from './defaults.ts'
 import { closeServer, listen, readJson, sendJson } from './httpserver.ts'
 import { SeededRandom } from './random.ts'
 import type { StandInPayload, StartRecord, TargetRecords } from './records.ts'
 import { StartOutcome } from './records.ts'
 
-/** Faults of a target. Setting them replaces all: what is left out is off. */
+/** Faults of a target. Setting them replaces all faults; omitted ones are off. */
 export interface TargetFaults {
   /** Every task starts and fails. */
   failAll: boolean
   /** Factor on run times; 1 for none. */
   slowFactor: number
-  /** Tasks start and do not end until this fault is taken away. */
+  /** Tasks start and do not end until this fault is switched off. */
   hang: boolean
-  /** Part of the tasks that start and fail, 0 to 1. */
+  /** Fraction of the tasks that start and fail, 0 to 1. */
   failRate: number
-  /** Seed for `failRate`. */
+  /** Seed of the random numbers for `failRate`. */
   seed: number
-  /** Tasks are turned away with status 503 before they start. */
+  /** Tasks are rejected with status 503 before they start. */
   refuse: boolean
-  /** A run stops when its requester goes away; otherwise it goes on to its end. */
+  /** A run is aborted when its requester disconnects; otherwise it runs to its end. */
   abortOnDisconnect: boolean
 }
 
-/** No fault at all. */
+/** All faults off. */
 export const NO_TARGET_FAULTS: TargetFaults = {
   failAll: false,
   slowFactor: 1,
@@ -45,31 +45,32 @@
 /** Options of a {@link TargetStandIn}. */
 export interface TargetOptions {
   id: string
-  /** Port on the loopback; 0 lets the system pick one. @default 0 */
+  /** Port on the loopback interface; 0 lets the system pick one. @default 0 */
   port?: number
-  /** Tasks run at one time; more wait. @default 8 */
+  /** Maximum number of concurrent tasks; more are queued. @default 8 */
   slots?: number
-  /** Start records held. @default 1000000 */
+  /** Maximum number of start records kept. @default 1000000 */
   recordLimit?: number
 }
 
-/** One request for a run, waiting for a slot or running. */
+/** One request for a run, queued for a slot or running. */
 interface Run {
   record: StartRecord
   payload: StandInPayload
   response: ServerResponse
-  requesterGone: boolean
+  requesterDisconnected: boolean
   timer?: NodeJS.Timeout
 }
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>
 
-/** A target that listens on the loopback. */
+/** A target that listens on the loopback interface. */
 export class TargetStandIn {
   readonly #options: Required<TargetOptions>
   readonly #server: Server
   readonly #records: StartRecord[] = []
   readonly #running = new Set<Run>()
+  /** Requests without a free slot, in order of arrival. */
   readonly #waiting: Run[] = []
   readonly #handlers: Record<string, Handler>
   #faults = NO_TARGET_FAULTS
@@ -78,17 +79,17 @@
   #dropped = 0
 
   constructor (options: TargetOptions) {
-    this.#options = { port: 0, slots: TARGET_SLOTS, recordLimit: TARGET_RECORDS, ...options }
+    this.#options = { port: 0, slots: TARGET_SLOTS, recordLimit: MAX_TARGET_RECORDS, ...options }
     this.#handlers = {
       'POST /run': (request, response) => this.#run(request, response),
       'GET /records': (_request, response) => sendJson(response, 200, this.records()),
-      'DELETE /records': (_request, response) => this.#clear(response),
+      'DELETE /records': (_request, response) => this.#clearRecords(response),
       'GET /standin/faults': (_request, response) => sendJson(response, 200, this.#faults),
       'POST /standin/faults': (request, response) => this.#receiveFaults(request, response),
       'GET /healthz': (_request, response) => sendJson(response, 200, { ok: true })
     }
     this.#server = createServer((request, response) => { this.#route(request, response) })
-    this.#server.keepAliveTimeout = TARGET_KEEP_ALIVE
+    this.#server.keepAliveTimeout = TARGET_KEEP_ALIVE_TIMEOUT
   }
 
   /** Starts listening. Resolves to the port. */
@@ -96,13 +97,13 @@
     return listen(this.#server, this.#options.port)
   }
 
-  /** Ends at once: running tasks are cut off, their records stay as they are. */
+  /** Closes at once. Running tasks are aborted and their records left unchanged. */
   close (): Promise<void> {
     for (const run of this.#running) clearTimeout(run.timer)
     return closeServer(this.#server)
   }
 
-  /** Every start so far. */
+  /** Every start since the records were last cleared, with the current counts. */
   records (): TargetRecords {
     return {
       target: this.#options.id,
@@ -114,7 +115,7 @@
     }
   }
 
-  /** Replaces the faults; those left out are off. Runs that hang end when `hang` is taken away. */
+  /** Replaces the faults; omitted ones are off. Hanging runs continue once `hang` is off. */
   setFaults (faults: Partial<TargetFaults>): void {
     this.#faults = { ...NO_TARGET_FAULTS, ...faults }
     this.#random = new SeededRandom(this.#faults.seed)
@@ -133,11 +134,11 @@
   }
 
   async #receiveFaults (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    this.setFaults(await readJson(request, TARGET_BODY_BYTES) as Partial<TargetFaults>)
+    this.setFaults(await readJson(request, MAX_TARGET_BODY_BYTES) as Partial<TargetFaults>)
     sendJson(response, 200, this.#faults)
   }
 
-  #clear (response: ServerResponse): void {
+  #clearRecords (response: ServerResponse): void {
     this.#records.length = 0
     this.#askedAboveSlots = 0
     this.#dropped = 0
@@ -145,12 +146,12 @@
   }
 
   async #run (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const payload = await readJson(request, TARGET_BODY_BYTES) as StandInPayload
+    const payload = await readJson(request, MAX_TARGET_BODY_BYTES) as StandInPayload
     if (this.#faults.refuse) return sendJson(response, 503, { error: 'refused before the start' })
     if (request.socket.destroyed) return
     const run = this.#newRun(request, response, payload)
     if (Number.isNaN(run.record.task)) return sendJson(response, 400, { error: 'no x-amaranthmast-task' })
-    response.once('close', () => this.#requesterGone(run))
+    response.once('close', () => this.#handleDisconnect(run))
     if (this.#running.size < this.#options.slots) return this.#start(run)
     this.#askedAboveSlots++
     this.#waiting.push(run)
@@ -166,7 +167,7 @@
       outcome: StartOutcome.Running,
       startedAt: 0
     }
-    return { record, payload, response, requesterGone: false }
+    return { record, payload, response, requesterDisconnected: false }
   }
 
   #start (run: Run): void {
@@ -188,16 +189,16 @@
     record.outcome = failed ? StartOutcome.Failed : StartOutcome.Finished
     record.finishedAt = Date.now()
     this.#release(run)
-    if (run.requesterGone) return
+    if (run.requesterDisconnected) return
     if (failed) return sendJson(response, 500, { error: 'the task failed' })
     const { tenant, job, task, target } = record
     sendJson(response, 200, { tenant, job, task, target })
   }
 
-  #requesterGone (run: Run): void {
-    run.requesterGone = true
-    const place = this.#waiting.indexOf(run)
-    if (place >= 0) this.#waiting.splice(place, 1)
+  #handleDisconnect (run: Run): void {
+    run.requesterDisconnected = true
+    const index = this.#waiting.indexOf(run)
+    if (index >= 0) this.#waiting.splice(index, 1)
     if (!this.#running.has(run) || !this.#faults.abortOnDisconnect) return
     clearTimeout(run.timer)
     run.record.outcome = StartOutcome.Aborted
--- a/packages/standins/src/targetmain.ts
+++ b/packages/standins/src/targetmain.ts
@@ -1,4 +1,4 @@
-/** Runs a stand-in target: `node dist/target.js --id t1 --port 6101 --slots 8`. */
+/** Runs a target stand-in: `node dist/target.js --id t1 --port 6101 --slots 8`. */
 import { parseArgs } from 'node:util'
 
 import { TARGET_SLOTS } from './defaults.ts'
--- a/packages/standins/src/wait.ts
+++ b/packages/standins/src/wait.ts
@@ -13,13 +13,13 @@
 
 /** Looks every `interval` ms until `isTrue` resolves to true; a rejection counts as false. */
 export async function waitFor (
-  what: string, timeout: number, interval: number, isTrue: () => Promise<boolean> | boolean
+  what: string, timeout: number, interval: number, condition: () => Promise<boolean> | boolean
 ): Promise<void> {
-  const giveUpAt = performance.now() + timeout
+  const timeoutAt = performance.now() + timeout
   let failure: unknown
-  while (performance.now() < giveUpAt) {
+  while (performance.now() < timeoutAt) {
     try {
-      if (await isTrue()) return
+      if (await condition()) return
     } catch (error) {
       failure = error
     }
--- a/packages/standins/test/audit.test.ts
+++ b/packages/standins/test/audit.test.ts
@@ -5,13 +5,13 @@
 import type { AuditCounts } from '@amaranthmast/standins/audit'
 import { audit, IncompleteRecordsError, isClean } from '@amaranthmast/standins/audit'
 import type { AnswerBody, Attempt, JobRecord, StartRecord, TargetRecords } from '@amaranthmast/standins/records'
-import { AnswerWord, StartOutcome } from '@amaranthmast/standins/records'
+import { AnswerKind, StartOutcome } from '@amaranthmast/standins/records'
 
 const CLEAN: AuditCounts = {
   jobs: 1, complete: 1, failed: 0, refused: 0, mayHaveRun: 0, lost: 0, doubled: 0, refusedButRan: 0
 }
 
-const REFUSAL: AnswerBody = { kind: AnswerWord.Refused, job: 'j1', cause: 'overloaded', retryAfterMilliseconds: 20 }
+const REFUSAL: AnswerBody = { kind: AnswerKind.Refused, job: 'j1', cause: 'overloaded', retryAfterMilliseconds: 20 }
 
 function started (task: number, target: string, changes: Partial<StartRecord> = {}): StartRecord {
   return {
@@ -32,7 +32,7 @@
 }
 
 function completeWith (results: unknown[]): AnswerBody {
-  return { kind: AnswerWord.Complete, job: 'j1', results }
+  return { kind: AnswerKind.Complete, job: 'j1', results }
 }
 
 function attempt (submittedAt: number, answer?: AnswerBody): Attempt {
@@ -70,8 +70,8 @@
 
 const CASES: Case[] = [
   { name: 'a sound complete answer', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: {} },
-  { name: 'a failed answer', job: answeredWith({ kind: AnswerWord.Failed, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, failed: 1 } },
-  { name: 'an answer that it may have run', job: answeredWith({ kind: AnswerWord.MayHaveRun, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, mayHaveRun: 1 } },
+  { name: 'a failed answer', job: answeredWith({ kind: AnswerKind.Failed, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, failed: 1 } },
+  { name: 'an answer that it may have run', job: answeredWith({ kind: AnswerKind.MayHaveRun, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, mayHaveRun: 1 } },
   { name: 'a true refusal', job: answeredWith(REFUSAL), targets: [], counts: { complete: 0, refused: 1 } },
   { name: 'no final answer', job: jobOfTwo([attempt(100), attempt(200)]), targets: BOTH_STARTED, counts: { complete: 0, lost: 1 } },
   { name: 'too few results', job: answeredWith(completeWith([result(0, 't1')])), targets: BOTH_STARTED, counts: { complete: 0, lost: 1 } },
@@ -90,7 +90,7 @@
   { name: 'a task started at two targets', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { doubled: 1 } },
   { name: 'a task started twice at one target', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [recordsOf('t1', [started(0, 't1'), started(0, 't1'), started(1, 't2')])], counts: { doubled: 1 } },
   { name: 'a second start that was aborted', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3', { outcome: StartOutcome.Aborted })])], counts: { doubled: 1 } },
-  { name: 'a start of a job that failed, doubled', job: answeredWith({ kind: AnswerWord.Failed, job: 'j1' }), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { complete: 0, failed: 1, doubled: 1 } },
+  { name: 'a start of a job that failed, doubled', job: answeredWith({ kind: AnswerKind.Failed, job: 'j1' }), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { complete: 0, failed: 1, doubled: 1 } },
   { name: 'a final refusal of a job that ran', job: answeredWith(REFUSAL), targets: [recordsOf('t1', [started(1, 't1')])], counts: { complete: 0, refused: 1, refusedButRan: 1 } },
   { name: 'a final refusal of a job that ran later', job: answeredWith(REFUSAL), targets: [recordsOf('t1', [started(1, 't1', { startedAt: 9000 })])], counts: { complete: 0, refused: 1, refusedButRan: 1 } },
   { name: 'a start before the submission that follows a refusal', job: jobOfTwo([attempt(100, REFUSAL), attempt(200, completeWith(ONE_RESULT_EACH))], completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: { refusedButRan: 1 } },
--- a/packages/standins/test/caller.test.ts
+++ b/packages/standins/test/caller.test.ts
@@ -9,7 +9,7 @@
 import { sendJson } from '@amaranthmast/standins/httpserver'
 import { planLoad, runLoad } from '@amaranthmast/standins/load'
 import type { JobSubmission } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 import { TargetStandIn } from '@amaranthmast/standins/target'
 
 import type { Script } from './fakeentry.ts'
@@ -26,7 +26,7 @@
 }
 
 const answerComplete: Script = (_request, response, job) => {
-  sendJson(response, 200, { kind: AnswerWord.Complete, job: job.job, results: [{}] })
+  sendJson(response, 200, { kind: AnswerKind.Complete, job: job.job, results: [{}] })
   return true
 }
 
@@ -35,15 +35,15 @@
   return true
 }
 
-const staySilent: Script = () => true
+const neverAnswer: Script = () => true
 
-const answerGarbage: Script = (_request, response) => {
+const answerInvalidJson: Script = (_request, response) => {
   response.writeHead(500, { 'content-type': 'text/plain' })
   response.end('oops')
   return true
 }
 
-const answerNoKind: Script = (_request, response) => {
+const answerWithoutKind: Script = (_request, response) => {
   sendJson(response, 500, { error: 'oops' })
   return true
 }
@@ -64,9 +64,9 @@
 
 const LOSSES: ReadonlyArray<{ name: string, script: Script }> = [
   { name: 'the connection breaks', script: breakConnection },
-  { name: 'no answer comes in time', script: staySilent },
-  { name: 'the answer is no JSON', script: answerGarbage },
-  { name: 'the answer has no kind', script: answerNoKind }
+  { name: 'no answer comes in time', script: neverAnswer },
+  { name: 'the answer is no JSON', script: answerInvalidJson },
+  { name: 'the answer has no kind', script: answerWithoutKind }
 ]
 
 for (const { name, script } of LOSSES) {
@@ -78,7 +78,7 @@
     expect(record.attempts.map(attempt => attempt.entry)).toEqual([bad.url, good.url])
     expect(good.bodies).toEqual(bad.bodies)
     expect(good.bodies).toEqual([JSON.stringify(JOB)])
-    expect(record.final?.kind).toEqual(AnswerWord.Complete)
+    expect(record.final?.kind).toEqual(AnswerKind.Complete)
   })
 }
 
@@ -106,41 +106,41 @@
   let refusals = 0
   const entry = await newEntry(context, (request, response, job) => {
     if (refusals++ > 0) return answerComplete(request, response, job)
-    sendJson(response, 503, { kind: AnswerWord.Refused, job: job.job, cause: 'overloaded', retryAfterMilliseconds: 120 })
+    sendJson(response, 503, { kind: AnswerKind.Refused, job: job.job, cause: 'overloaded', retryAfterMilliseconds: 120 })
     return true
   })
   const caller = await newCaller(context, { entries: [entry.url] })
   const record = await caller.submit(JOB)
   const [refused, completed] = record.attempts
-  expect([refused?.answer?.kind, completed?.answer?.kind]).toEqual([AnswerWord.Refused, AnswerWord.Complete])
+  expect([refused?.answer?.kind, completed?.answer?.kind]).toEqual([AnswerKind.Refused, AnswerKind.Complete])
   expect((completed?.submittedAt ?? 0) - (refused?.endedAt ?? 0) >= 119).toEqual(true)
-  expect(record.final?.kind).toEqual(AnswerWord.Complete)
+  expect(record.final?.kind).toEqual(AnswerKind.Complete)
 })
 
 test('a caller reads the time to come back from the header when the body states none', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
     response.setHeader('retry-after', '1')
-    sendJson(response, 503, { kind: AnswerWord.Refused, job: job.job })
+    sendJson(response, 503, { kind: AnswerKind.Refused, job: job.job })
     return true
   })
-  const caller = await newCaller(context, { entries: [entry.url], refusalTries: 1 })
+  const caller = await newCaller(context, { entries: [entry.url], maxRefusals: 1 })
   expect((await caller.submit(JOB)).final?.retryAfterMilliseconds).toEqual(1000)
 })
 
 test('a caller takes a refusal as final after its tries', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
-    sendJson(response, 503, { kind: AnswerWord.Refused, job: job.job, retryAfterMilliseconds: 1 })
+    sendJson(response, 503, { kind: AnswerKind.Refused, job: job.job, retryAfterMilliseconds: 1 })
     return true
   })
-  const caller = await newCaller(context, { entries: [entry.url], refusalTries: 3 })
+  const caller = await newCaller(context, { entries: [entry.url], maxRefusals: 3 })
   const record = await caller.submit(JOB)
   expect(record.attempts.length).toEqual(3)
-  expect(record.final?.kind).toEqual(AnswerWord.Refused)
+  expect(record.final?.kind).toEqual(AnswerKind.Refused)
 })
 
 test('a caller takes a refusal without a time to come back as final', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
-    sendJson(response, 404, { kind: AnswerWord.Refused, job: job.job, cause: 'unknownService' })
+    sendJson(response, 404, { kind: AnswerKind.Refused, job: job.job, cause: 'unknownService' })
     return true
   })
   const caller = await newCaller(context, { entries: [entry.url] })
--- a/packages/standins/test/fakeentry.ts
+++ b/packages/standins/test/fakeentry.ts
@@ -4,7 +4,7 @@
 
 import { closeServer, listen, sendJson } from '@amaranthmast/standins/httpserver'
 import type { JobSubmission, StandInResult } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 
 /** What the entry does with a submission: answers it, or returns false to run it. */
 export type Script = (request: IncomingMessage, response: ServerResponse, job: JobSubmission) => boolean
@@ -41,7 +41,7 @@
     const job = JSON.parse(body) as JobSubmission
     if (this.#script(request, response, job)) return
     const results = await Promise.all(job.tasks.map((_task, index) => this.#runTask(job, index)))
-    sendJson(response, 200, { kind: AnswerWord.Complete, job: job.job, results })
+    sendJson(response, 200, { kind: AnswerKind.Complete, job: job.job, results })
   }
 
   async #runTask (job: JobSubmission, index: number): Promise<StandInResult> {
--- a/packages/standins/test/keyvalue.test.ts
+++ b/packages/standins/test/keyvalue.test.ts
@@ -1,4 +1,4 @@
-/** Contract of the key-value stand-in: what clients other than the project's own rely on. */
+/** The published interface of the key-value stand-in, as any client may use it. */
 import type { TestContext } from 'node:test'
 import { test } from 'node:test'
 import { expect } from 'earl'
@@ -53,8 +53,8 @@
   })
 }
 
-// The published form of a read that compares: an unchanged key costs no value, and neither branch
-// writes, so that the service counts a read and the state stays at its revision.
+// The published form of a conditional read: no value is sent for an unchanged key. Neither branch
+// writes, so that the service counts a read and the revision does not change.
 const CONDITIONAL_READS: Array<{ name: string, key: string, modRevision: string, body: object }> = [
   { name: 'the known revision', key: 'view', modRevision: '2', body: { succeeded: true } },
   { name: 'a missing key known to be missing', key: 'other', modRevision: '0', body: { succeeded: true } },
@@ -63,7 +63,7 @@
 ]
 
 for (const { name, key, modRevision, body } of CONDITIONAL_READS) {
-  test(`a transaction that compares and only reads is a read: ${name}`, async (context) => {
+  test(`a transaction that compares and only reads counts as a read: ${name}`, async (context) => {
     const standIn = await startStandIn(context)
     await post(standIn.endpoint, '/v3/kv/put', { key: base64('view'), value: base64('a') })
 
@@ -79,7 +79,7 @@
   })
 }
 
-test('a transaction that may write is a write though it compares in vain', async (context) => {
+test('a transaction that may write counts as a write even when its comparison fails', async (context) => {
   const standIn = await startStandIn(context)
   const key = base64('view')
 
@@ -92,7 +92,7 @@
   expect([standIn.calls.reads, standIn.calls.writes]).toEqual([0, 1])
 })
 
-test('a range has the published form', async (context) => {
+test('the answer to a range has the published form', async (context) => {
   const standIn = await startStandIn(context)
   await post(standIn.endpoint, '/v3/kv/put', { key: base64('view'), value: base64('a') })
 
@@ -120,7 +120,7 @@
   expect(left.body.kvs.map((entry: { key: string }) => entry.key)).toEqual([base64('c')])
 })
 
-test('a lease that is not renewed takes its keys along', async (context) => {
+test('the keys of a lease that is not renewed are deleted', async (context) => {
   const standIn = await startStandIn(context)
   const { body } = await post(standIn.endpoint, '/v3/lease/grant', { TTL: '1' })
   await post(standIn.endpoint, '/v3/kv/put', { key: base64('owner'), value: base64('me'), lease: body.ID })
@@ -140,7 +140,7 @@
 ]
 
 for (const { name, path, body, status, message } of REFUSALS) {
-  test(`a call is refused without effect: ${name}`, async (context) => {
+  test(`an invalid call is rejected without effect: ${name}`, async (context) => {
     const standIn = await startStandIn(context)
     for (let write = 0; write < 5; write++) {
       await post(standIn.endpoint, '/v3/kv/put', { key: base64('b'), value: '' })
@@ -183,7 +183,7 @@
 const WRONG_FAULTS = [{ outrage: 'hang' }, { outage: 'maybe' }, { readDelayMilliseconds: '5' }, { loseAnswers: -1 }, []]
 
 for (const faults of WRONG_FAULTS) {
-  test(`faults are refused: ${JSON.stringify(faults)}`, async (context) => {
+  test(`invalid faults are rejected: ${JSON.stringify(faults)}`, async (context) => {
     const standIn = await startStandIn(context)
 
     const answer = await post(standIn.endpoint, '/standin/faults', faults)
--- a/packages/standins/test/cutter.test.ts
+++ b/packages/standins/test/linkrelay.test.ts
@@ -6,12 +6,12 @@
 
 import { expect } from 'earl'
 
-import { LinkCutter, LinkState } from '@amaranthmast/standins/cutter'
+import { LinkRelay, LinkState } from '@amaranthmast/standins/linkrelay'
 import { waitFor } from '@amaranthmast/standins/wait'
 
 /** Both ends of one relayed connection, and what each has received so far. */
-class Link {
-  readonly cutter: LinkCutter
+class TestLink {
+  readonly relay: LinkRelay
   readonly server: Server
   port = 0
   client!: Socket
@@ -20,9 +20,9 @@
   atServer = ''
   serverEnded = false
 
-  constructor (server: Server, cutter: LinkCutter) {
+  constructor (server: Server, cutter: LinkRelay) {
     this.server = server
-    this.cutter = cutter
+    this.relay = cutter
   }
 
   async dial (): Promise<void> {
@@ -44,12 +44,12 @@
   }
 }
 
-async function newLink (context: TestContext): Promise<Link> {
+async function newLink (context: TestContext): Promise<TestLink> {
   const server = createServer()
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
-  const cutter = new LinkCutter((server.address() as AddressInfo).port)
-  const link = new Link(server, cutter)
+  const cutter = new LinkRelay((server.address() as AddressInfo).port)
+  const link = new TestLink(server, cutter)
   link.port = await cutter.listen()
   await link.dial()
   context.after(async () => {
@@ -66,7 +66,7 @@
   return new Promise(resolve => { setTimeout(resolve, 60) })
 }
 
-async function errorOfDialling (port: number): Promise<string> {
+async function connectError (port: number): Promise<string> {
   const socket = connect({ port, host: '127.0.0.1' })
   const [error] = await once(socket, 'error') as [NodeJS.ErrnoException]
   return error.code ?? ''
@@ -82,46 +82,46 @@
   const link = await newLink(context)
   await link.exchange()
   const errors = Promise.all([once(link.client, 'error'), once(link.accepted, 'error')])
-  link.cutter.cut()
+  link.relay.cut()
   const codes = (await errors).map(([error]) => (error as NodeJS.ErrnoException).code)
   expect(codes).toEqual(['ECONNRESET', 'ECONNRESET'])
 })
 
 test('a cut link resets new connections until it is restored', async context => {
   const link = await newLink(context)
-  link.cutter.cut()
-  expect(await errorOfDialling(link.port)).toEqual('ECONNRESET')
-  link.cutter.restore()
+  link.relay.cut()
+  expect(await connectError(link.port)).toEqual('ECONNRESET')
+  link.relay.restore()
   await link.dial()
   await link.exchange()
 })
 
-const SILENCES = [
-  { state: LinkState.Silent, atServer: '', atClient: '' },
-  { state: LinkState.SilentToServer, atServer: '', atClient: 'to client' },
-  { state: LinkState.SilentToClient, atServer: 'to server', atClient: '' }
+const STALLS = [
+  { state: LinkState.Stalled, atServer: '', atClient: '' },
+  { state: LinkState.StalledToServer, atServer: '', atClient: 'to client' },
+  { state: LinkState.StalledToClient, atServer: 'to server', atClient: '' }
 ] as const
 
-for (const { state, atServer, atClient } of SILENCES) {
+for (const { state, atServer, atClient } of STALLS) {
   test(`a link that is ${state} holds bytes and brings them when it is restored`, async context => {
     const link = await newLink(context)
-    link.cutter.freeze(state)
+    link.relay.stall(state)
     link.client.write('to server')
     link.accepted.write('to client')
     await settle()
     expect([link.atServer, link.atClient]).toEqual([atServer, atClient])
-    link.cutter.restore()
+    link.relay.restore()
     await waitFor('the bytes', 5000, 5, () => link.atServer === 'to server' && link.atClient === 'to client')
   })
 }
 
 test('a silent link hides a closing until it is restored', async context => {
   const link = await newLink(context)
-  link.cutter.freeze()
+  link.relay.stall()
   link.client.end('last words')
   await settle()
   expect([link.atServer, link.serverEnded]).toEqual(['', false])
-  link.cutter.restore()
+  link.relay.restore()
   await waitFor('the end', 5000, 5, () => link.serverEnded)
   expect(link.atServer).toEqual('last words')
 })
@@ -130,20 +130,20 @@
   const link = await newLink(context)
   let closed = false
   link.accepted.on('close', () => { closed = true })
-  link.cutter.freeze(LinkState.SilentToServer)
+  link.relay.stall(LinkState.StalledToServer)
   link.client.resetAndDestroy()
   link.accepted.write('anyone there?')
   await settle()
   link.accepted.write('hello?')
   await settle()
   expect(closed).toEqual(false)
-  link.cutter.restore()
+  link.relay.restore()
   await waitFor('the reset', 5000, 5, () => closed)
 })
 
 test('a new connection over a silent link is accepted and stays silent', async context => {
   const link = await newLink(context)
-  link.cutter.freeze()
+  link.relay.stall()
   const client = connect({ port: link.port, host: '127.0.0.1' })
   context.after(() => client.destroy())
   await once(client, 'connect')
@@ -152,15 +152,15 @@
   client.write('hello')
   await settle()
   expect(received).toEqual('')
-  link.cutter.restore()
+  link.relay.restore()
   await waitFor('the bytes', 5000, 5, () => received === 'hello')
 })
 
 test('a closed link refuses connections until it listens again', async context => {
   const link = await newLink(context)
-  await link.cutter.close()
-  expect(await errorOfDialling(link.port)).toEqual('ECONNREFUSED')
-  await link.cutter.listen(link.port)
+  await link.relay.close()
+  expect(await connectError(link.port)).toEqual('ECONNREFUSED')
+  await link.relay.listen(link.port)
   await link.dial()
   await link.exchange()
 })
--- a/packages/standins/test/load.test.ts
+++ b/packages/standins/test/load.test.ts
@@ -5,7 +5,7 @@
 import { planLoad } from '@amaranthmast/standins/load'
 import { idealMilliseconds, summarise } from '@amaranthmast/standins/loadsummary'
 import type { JobRecord } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 
 const OPTIONS = { seed: 5, rate: 50, seconds: 20 }
 
@@ -37,11 +37,11 @@
 })
 
 test('bursts hold a part of the jobs', () => {
-  const inFirstBurst = planLoad({ ...OPTIONS, burstEvery: 20, burstPart: 0.5 }).filter(({ at }) => at >= 10_000 && at < 10_050)
+  const inFirstBurst = planLoad({ ...OPTIONS, burstEvery: 20, burstFraction: 0.5 }).filter(({ at }) => at >= 10_000 && at < 10_050)
   expect(inFirstBurst.length > 400 && inFirstBurst.length < 600).toEqual(true)
 })
 
-function answeredIn (milliseconds: number, runs: number[]): JobRecord {
+function jobAnsweredIn (milliseconds: number, runs: number[]): JobRecord {
   return {
     submission: {
       job: 'j1',
@@ -53,7 +53,7 @@
     },
     submittedAt: 1000,
     attempts: [],
-    final: { kind: AnswerWord.Complete, job: 'j1', results: [] },
+    final: { kind: AnswerKind.Complete, job: 'j1', results: [] },
     finishedAt: 1000 + milliseconds
   }
 }
@@ -66,12 +66,12 @@
 
 for (const { name, runs, slots, ideal } of IDEALS) {
   test(`the ideal response time is that of ${name}`, () => {
-    expect(idealMilliseconds(answeredIn(0, runs), slots)).toEqual(ideal)
+    expect(idealMilliseconds(jobAnsweredIn(0, runs), slots)).toEqual(ideal)
   })
 }
 
 test('a summary holds response times over the ideal', () => {
-  const summary = summarise([answeredIn(300, [200]), answeredIn(200, [200])], 8)
+  const summary = summarise([jobAnsweredIn(300, [200]), jobAnsweredIn(200, [200])], 8)
   expect([summary.jobs, summary.tasks, summary.answers]).toEqual([2, 2, { complete: 2 }])
   expect([summary.ratio.p50, summary.ratio.count]).toEqual([1, 2])
   expect(Math.abs(summary.ratio.max - 1.5) < 0.01).toEqual(true)
--- a/packages/standins/test/runintervals.test.ts
+++ b/packages/standins/test/runintervals.test.ts
@@ -1,5 +1,5 @@
 import { test } from 'node:test'
-import { overlapsOf } from '@amaranthmast/standins/runintervals'
+import { findOverlaps } from '@amaranthmast/standins/runintervals'
 import { expect } from 'earl'
 
 function interval (task: string, from: number, to: number, run = 1) {
@@ -7,18 +7,18 @@
 }
 
 test('runs of one task that follow each other do not overlap', () => {
-  expect(overlapsOf([[interval('a', 0, 100), interval('b', 50, 150)], [interval('a', 100, 200)]])).toEqual([])
+  expect(findOverlaps([[interval('a', 0, 100), interval('b', 50, 150)], [interval('a', 100, 200)]])).toEqual([])
 })
 
 // Looks at intervals of 4 ms did not see shorter overlaps.
 test('an overlap of one millisecond is found, with its places', () => {
-  const [overlap] = overlapsOf([[interval('a', 100, 200)], [], [interval('a', 0, 101, 2)]])
+  const [overlap] = findOverlaps([[interval('a', 100, 200)], [], [interval('a', 0, 101, 2)]])
   expect(overlap?.first.place).toEqual(2)
   expect(overlap?.second.place).toEqual(0)
   expect(overlap?.lasted).toEqual(1)
 })
 
 test('a third run is compared with the one that goes on longest', () => {
-  const overlaps = overlapsOf([[interval('a', 0, 300)], [interval('a', 50, 100)], [interval('a', 200, 400)]])
+  const overlaps = findOverlaps([[interval('a', 0, 300)], [interval('a', 50, 100)], [interval('a', 200, 400)]])
   expect(overlaps.map(({ first, second, lasted }) => [first.place, second.place, lasted])).toEqual([[0, 1, 50], [0, 2, 100]])
 })
--- a/packages/standins/test/target.test.ts
+++ b/packages/standins/test/target.test.ts
@@ -54,11 +54,11 @@
   expect(target.records().records.length).toEqual(2)
 })
 
-test('a target holds no more than its slots and counts what asked for more', async context => {
+test('a target runs no more tasks than it has slots and counts the requests beyond', async context => {
   const [target, url] = await newTarget(context, { slots: 2 })
   target.setFaults({ hang: true })
   const answers = [0, 1, 2, 3, 4].map(task => run(url, task))
-  await waitFor('all to have asked', 5000, 5, () => target.records().askedAboveSlots === 3)
+  await waitFor('all requests to arrive', 5000, 5, () => target.records().askedAboveSlots === 3)
   expect([target.records().running, target.records().records.length]).toEqual([2, 2])
   target.setFaults({})
   await Promise.all(answers)
@@ -68,9 +68,9 @@
 const FAULTS: ReadonlyArray<{ name: string, faults: Partial<TargetFaults>, payload: object, status: number, outcomes: StartOutcome[] }> = [
   { name: 'no fault', faults: {}, payload: {}, status: 200, outcomes: [StartOutcome.Finished] },
   { name: 'fail all', faults: { failAll: true }, payload: {}, status: 500, outcomes: [StartOutcome.Failed] },
-  { name: 'a task that is told to fail', faults: {}, payload: { fail: true }, status: 500, outcomes: [StartOutcome.Failed] },
+  { name: 'a payload that makes the task fail', faults: {}, payload: { fail: true }, status: 500, outcomes: [StartOutcome.Failed] },
   { name: 'a fail rate of one', faults: { failRate: 1 }, payload: {}, status: 500, outcomes: [StartOutcome.Failed] },
-  { name: 'a fail rate of nought', faults: { failRate: 0 }, payload: {}, status: 200, outcomes: [StartOutcome.Finished] },
+  { name: 'a fail rate of zero', faults: { failRate: 0 }, payload: {}, status: 200, outcomes: [StartOutcome.Finished] },
   { name: 'refuse', faults: { refuse: true }, payload: {}, status: 503, outcomes: [] }
 ]
 
@@ -84,7 +84,7 @@
   })
 }
 
-test('a fail rate fails the same tasks for the same seed', async context => {
+test('a fail rate makes the same tasks fail for the same seed', async context => {
   const [target, url] = await newTarget(context)
   const statuses: number[][] = [[], []]
   for (const round of statuses) {
@@ -95,7 +95,7 @@
   expect(new Set(statuses[0])).toEqual(new Set([200, 500]))
 })
 
-test('a slow target stretches run times by its factor', async context => {
+test('a slow target multiplies run times by its factor', async context => {
   const [target, url] = await newTarget(context)
   target.setFaults({ slowFactor: 20 })
   await run(url, 0, { runMilliseconds: 5 })
@@ -103,13 +103,13 @@
   expect((record?.finishedAt ?? 0) - (record?.startedAt ?? 0) >= 99).toEqual(true)
 })
 
-const DEPARTURES = [
+const DISCONNECTS = [
   { faults: {}, outcome: StartOutcome.Finished },
   { faults: { abortOnDisconnect: true }, outcome: StartOutcome.Aborted }
 ]
 
-for (const { faults, outcome } of DEPARTURES) {
-  test(`a run whose requester goes away is ${outcome} with ${JSON.stringify(faults)}`, async context => {
+for (const { faults, outcome } of DISCONNECTS) {
+  test(`a run whose requester disconnects is ${outcome} with ${JSON.stringify(faults)}`, async context => {
     const [target, url] = await newTarget(context)
     target.setFaults(faults)
     const controller = new AbortController()
--- a/packages/store/test/clientfaults.test.ts
+++ b/packages/store/test/clientfaults.test.ts
@@ -1,7 +1,7 @@
 /** What the client may say when a call fails, and where it turns next. */
 import type { KeyValueFaults } from '@amaranthmast/standins/keyvaluefaults'
 import { test } from 'node:test'
-import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
+import { LostAnswerMode, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { waitFor } from '@amaranthmast/standins/wait'
 import { expect } from 'earl'
 import { KeyValueClient } from '../src/client.ts'
@@ -24,7 +24,7 @@
   { name: 'over the write rate', faults: { maximumWritesPerSecond: 0.5 }, code: StoreErrorCode.Unavailable, mayHaveTakenEffect: false, applied: false },
   { name: 'no answer, no effect', faults: { outage: Outage.Hang }, code: StoreErrorCode.TimedOut, mayHaveTakenEffect: true, applied: false },
   { name: 'effect, connection cut', faults: { loseAnswers: 1 }, code: StoreErrorCode.TimedOut, mayHaveTakenEffect: true, applied: true },
-  { name: 'effect, no answer', faults: { loseAnswers: 1, loseAnswersBy: LostAnswer.Hang }, code: StoreErrorCode.TimedOut, mayHaveTakenEffect: true, applied: true },
+  { name: 'effect, no answer', faults: { loseAnswers: 1, loseAnswersBy: LostAnswerMode.Hang }, code: StoreErrorCode.TimedOut, mayHaveTakenEffect: true, applied: true },
   { name: 'effect after the time limit', faults: { writeDelayMilliseconds: 2 * TIMEOUT }, code: StoreErrorCode.TimedOut, mayHaveTakenEffect: true, applied: true }
 ]
 
--- a/packages/trials/src/soak.ts
+++ b/packages/trials/src/soak.ts
@@ -3,7 +3,7 @@
 import type { Told } from './soakcallers.ts'
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { setTimeout as pause } from 'node:timers/promises'
-import { overlapsOf } from '@amaranthmast/standins/runintervals'
+import { findOverlaps } from '@amaranthmast/standins/runintervals'
 import { SeededRandom } from '@amaranthmast/standins/random'
 import { Fate, SoakCallers } from './soakcallers.ts'
 import { CONFIGURATION_FAULTS, FAULTS, OPERATOR_FAULTS, REFUSAL_FAULTS } from './soakfaults.ts'
@@ -189,7 +189,7 @@
 /** Tasks that ran at two workers at once, with how long and, from the first fault on, when. */
 function doubled (fleet: SoakFleet, began: number): string[] {
   const name = ({ place, run, how, from, to }: PlacedRun): string => `worker ${place} (run ${run}, ${Math.round(from - began)} to ${Math.round(to - began)}, ${how})`
-  return overlapsOf(fleet.workers.map(({ intervals }) => intervals)).map(({ first, second, lasted }) => `${first.task} ran for ${lasted} ms at ${name(first)} and ${name(second)}`)
+  return findOverlaps(fleet.workers.map(({ intervals }) => intervals)).map(({ first, second, lasted }) => `${first.task} ran for ${lasted} ms at ${name(first)} and ${name(second)}`)
 }
 
 /** Nothing starts in a data centre that was evacuated after the faults, and something does once that is taken back. */
--- a/packages/trials/src/soakfaults.ts
+++ b/packages/trials/src/soakfaults.ts
@@ -4,7 +4,7 @@
 import type { FleetWorker, WorkerFaults } from '@amaranthmast/standins/fleetworker'
 import { readFileSync } from 'node:fs'
 import { setTimeout as pause } from 'node:timers/promises'
-import { LinkState } from '@amaranthmast/standins/cutter'
+import { LinkState } from '@amaranthmast/standins/linkrelay'
 import { Outage } from '@amaranthmast/standins/fleetstore'
 import { DATA_CENTRES } from './soakfleet.ts'
 
@@ -81,12 +81,12 @@
   },
   silenceLinks: async (fleet, random) => {
     const cutter = random.pick(fleet.cutters)
-    cutter.freeze(random.pick([LinkState.Silent, LinkState.SilentToClient, LinkState.SilentToServer]))
+    cutter.stall(random.pick([LinkState.Stalled, LinkState.StalledToClient, LinkState.StalledToServer]))
     await pause(length(random))
     cutter.restore()
   },
   storeOutage: async (fleet, random) => {
-    fleet.store.outage = random.pick([Outage.Silent, Outage.Busy, Outage.Reset])
+    fleet.store.outage = random.pick([Outage.NoResponse, Outage.Unavailable, Outage.Reset])
     await pause(length(random))
     fleet.store.outage = Outage.None
   },
@@ -96,7 +96,7 @@
     fleet.store.loseAnswers = false
   },
   storeForgets: async fleet => {
-    fleet.store.revokeAll()
+    fleet.store.revokeAllLeases()
     fleet.store.compact()
   },
   configure: async fleet => { fleet.configure() },
@@ -161,22 +161,22 @@
       await pause(random.next() * 300)
     }
   },
-  strandStore: async (fleet, random) => random.pick(fleet.storeCutters).strand(),
+  strandStore: async (fleet, random) => random.pick(fleet.storeCutters).stallOpenConnections(),
   silenceStoreOfEntry: async (fleet, random) => {
     const cutter = random.pick(fleet.storeCutters)
-    cutter.freeze()
+    cutter.stall()
     await pause(length(random))
     cutter.restore()
   },
   storeDeaf: async (fleet, random) => {
-    if (fleet.store.deaf) return
-    fleet.store.deaf = true
+    if (fleet.store.dropWatchEvents) return
+    fleet.store.dropWatchEvents = true
     fleet.configure()
     await pause(random.next() * DEAF / 2)
     fleet.configure()
     await pause(random.next() * DEAF / 2)
     fleet.store.compact()
-    fleet.store.deaf = false
+    fleet.store.dropWatchEvents = false
   }
 }
 
--- a/packages/trials/src/soakfleet.ts
+++ b/packages/trials/src/soakfleet.ts
@@ -3,7 +3,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { LinkCutter, LinkRate } from '@amaranthmast/standins/cutter'
+import { LinkRelay, LinkRate } from '@amaranthmast/standins/linkrelay'
 import { operatorConfiguration } from '@amaranthmast/standins/fleetdocuments'
 import { FleetStore } from '@amaranthmast/standins/fleetstore'
 import { FleetWorker } from '@amaranthmast/standins/fleetworker'
@@ -49,9 +49,9 @@
   readonly entries: Member[] = []
   readonly agents: Member[] = []
   readonly workers: FleetWorker[] = []
-  readonly cutters: LinkCutter[] = []
+  readonly cutters: LinkRelay[] = []
   /** Relays between entries and the store. */
-  readonly storeCutters: LinkCutter[] = []
+  readonly storeCutters: LinkRelay[] = []
   /** When each version of the configuration was accepted. */
   readonly configuredAt: number[] = []
   readonly #processes = new ProcessGroup()
@@ -137,7 +137,7 @@
 
   async #storeOfEntry (): Promise<string> {
     if (!this.#traits.relaysEntries) return this.#storeAddress
-    const cutter = new LinkCutter(Number(this.#storeAddress.split(':')[1]), new LinkRate(STORE_RATE))
+    const cutter = new LinkRelay(Number(this.#storeAddress.split(':')[1]), new LinkRate(STORE_RATE))
     this.storeCutters.push(cutter)
     return `${HOST}:${await cutter.listen(await this.#ports.pick())}`
   }
@@ -146,7 +146,7 @@
     const announcements = `${HOST}:${await this.#ports.pick()}`
     const linkPort = await this.#ports.pick()
     const dataCentre = this.#traits.operators ? DATA_CENTRES[index % DATA_CENTRES.length] as string : 'one'
-    const worker = new FleetWorker({ service: 'checks', dataCentre, statesStart: this.#traits.operators, cpu: 8000, agent: announcements, plan: task => ({ duration: duration(task), fails: false }) })
+    const worker = new FleetWorker({ service: 'checks', dataCentre, reportsStartTime: this.#traits.operators, cpu: 8000, agent: announcements, plan: task => ({ duration: duration(task), fails: false }) })
     const target = { address: await worker.listen(HOST, await this.#ports.pick()), service: 'checks' }
     const relayed = await this.#relay(linkPort)
     const listen = { callers: '', readiness: '', announcements }
@@ -160,7 +160,7 @@
 
   /** Puts a relay before a listener for links; gives its port. */
   async #relay (port: number): Promise<number> {
-    const cutter = new LinkCutter(port)
+    const cutter = new LinkRelay(port)
     this.cutters.push(cutter)
     return await cutter.listen(await this.#ports.pick())
   }
--- a/packages/trials/src/trial.ts
+++ b/packages/trials/src/trial.ts
@@ -15,7 +15,7 @@
 import type { LoadOptions } from '@amaranthmast/standins/load'
 import { planLoad, runLoad } from '@amaranthmast/standins/load'
 import type { AnswerBody, JobRecord, StartRecord } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 import { waitFor } from '@amaranthmast/standins/wait'
 import { writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
@@ -212,7 +212,7 @@
 
   /** Jobs whose final answer is not a complete one, for a person. */
   notComplete (): string[] {
-    return this.records.filter(({ final }) => final?.kind !== AnswerWord.Complete).map(({ submission, final }) => {
+    return this.records.filter(({ final }) => final?.kind !== AnswerKind.Complete).map(({ submission, final }) => {
       return `${submission.job}: ${final?.kind} ${final?.cause} ${final?.detail}`
     })
   }
--- a/packages/trials/test/configuration.test.ts
+++ b/packages/trials/test/configuration.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'node:test'
 
 import { LinkKind } from '@amaranthmast/standins/fleet'
-import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
+import { LostAnswerMode, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { expect } from 'earl'
 
 import { TEST_TIMEOUT } from '../src/defaults.ts'
@@ -72,7 +72,7 @@
   expect(trial.notComplete()).toEqual([])
 })
 
-for (const loseAnswersBy of [LostAnswer.Cut, LostAnswer.Hang]) {
+for (const loseAnswersBy of [LostAnswerMode.Cut, LostAnswerMode.Hang]) {
   test(`an apply whose answer is lost is settled and not applied twice (${loseAnswersBy})`, { timeout: TEST_TIMEOUT }, async t => {
     // The store takes the write of an apply and its answer never arrives. The tool reads back that its
     // own apply is in force and says so. There is one new version and not two, so the next apply, edited
--- a/packages/trials/test/cuts.test.ts
+++ b/packages/trials/test/cuts.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'node:test'
 
-import type { LinkCutter } from '@amaranthmast/standins/cutter'
-import { LinkState } from '@amaranthmast/standins/cutter'
+import type { LinkRelay } from '@amaranthmast/standins/linkrelay'
+import { LinkState } from '@amaranthmast/standins/linkrelay'
 import { LinkKind } from '@amaranthmast/standins/fleet'
 import { expect } from 'earl'
 
@@ -10,11 +10,11 @@
 
 const LOAD = { seed: 5, rate: 15, seconds: 5, scale: 0.3, burstEvery: 0 }
 
-const CUTS: ReadonlyArray<{ name: string, cut: (link: LinkCutter) => void }> = [
+const CUTS: ReadonlyArray<{ name: string, cut: (link: LinkRelay) => void }> = [
   { name: 'reset', cut: link => link.cut() },
-  { name: 'silent both ways', cut: link => link.freeze(LinkState.Silent) },
-  { name: 'silent towards it', cut: link => link.freeze(LinkState.SilentToServer) },
-  { name: 'silent from it', cut: link => link.freeze(LinkState.SilentToClient) }
+  { name: 'silent both ways', cut: link => link.stall(LinkState.Stalled) },
+  { name: 'silent towards it', cut: link => link.stall(LinkState.StalledToServer) },
+  { name: 'silent from it', cut: link => link.stall(LinkState.StalledToClient) }
 ]
 
 for (const { name, cut } of CUTS) {
--- a/packages/trials/test/latestops.test.ts
+++ b/packages/trials/test/latestops.test.ts
@@ -2,7 +2,7 @@
 import { after, test } from 'node:test'
 import { setTimeout as pause } from 'node:timers/promises'
 import { clientJob } from '@amaranthmast/standins/fleetdocuments'
-import { overlapsOf } from '@amaranthmast/standins/runintervals'
+import { findOverlaps } from '@amaranthmast/standins/runintervals'
 import { waitFor } from '@amaranthmast/standins/wait'
 import { expect } from 'earl'
 import { SoakFleet } from '../src/soakfleet.ts'
@@ -58,5 +58,5 @@
   await waitFor('a second run', 5000, 1, () => starts().length > 1)
   await late
   await again
-  expect(overlapsOf(fleet.workers.map(({ intervals }) => intervals)).map(({ lasted }) => lasted)).toEqual([])
+  expect(findOverlaps(fleet.workers.map(({ intervals }) => intervals)).map(({ lasted }) => lasted)).toEqual([])
 })
--- a/packages/trials/test/rolling.test.ts
+++ b/packages/trials/test/rolling.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'node:test'
 
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 import { expect } from 'earl'
 
 import { TEST_TIMEOUT } from '../src/defaults.ts'
@@ -28,5 +28,5 @@
   expect(report.faults).toEqual([])
   expect(trial.notComplete()).toEqual([])
   const answers = trial.records.flatMap(({ attempts }) => attempts.flatMap(({ answer }) => answer ?? []))
-  expect(answers.filter(({ kind }) => kind !== AnswerWord.Complete)).toEqual([])
+  expect(answers.filter(({ kind }) => kind !== AnswerKind.Complete)).toEqual([])
 })
--- a/packages/trials/test/store.test.ts
+++ b/packages/trials/test/store.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'node:test'
 
 import type { KeyValueFaults } from '@amaranthmast/standins/keyvaluefaults'
-import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
+import { LostAnswerMode, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { expect } from 'earl'
 
 import { kindOf } from '../src/client.ts'
@@ -41,8 +41,8 @@
 
 const WRITE_FAULTS: ReadonlyArray<{ name: string, faults: Partial<KeyValueFaults> }> = [
   { name: 'the store is slow', faults: { readDelayMilliseconds: 600, writeDelayMilliseconds: 800 } },
-  { name: 'the answers of view writes are cut off', faults: { loseAnswers: 2, loseAnswersBy: LostAnswer.Cut } },
-  { name: 'the answers of view writes never come', faults: { loseAnswers: 2, loseAnswersBy: LostAnswer.Hang } }
+  { name: 'the answers of view writes are cut off', faults: { loseAnswers: 2, loseAnswersBy: LostAnswerMode.Cut } },
+  { name: 'the answers of view writes never come', faults: { loseAnswers: 2, loseAnswersBy: LostAnswerMode.Hang } }
 ]
 
 for (const { name, faults } of WRITE_FAULTS) {
--- a/packages/trials/test/targetcuts.test.ts
+++ b/packages/trials/test/targetcuts.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'node:test'
 
-import { LinkState } from '@amaranthmast/standins/cutter'
+import { LinkState } from '@amaranthmast/standins/linkrelay'
 import { LinkKind } from '@amaranthmast/standins/fleet'
 import type { Attempt } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 import { expect } from 'earl'
 
 import { kindOf } from '../src/client.ts'
@@ -25,7 +25,7 @@
   trial.fleet.link(LinkKind.Target, 'agent-1').restore()
   const again = await trial.caller.send(job, trial.entry(2).callersUrl)
 
-  expect(answer?.kind).toEqual(AnswerWord.MayHaveRun)
+  expect(answer?.kind).toEqual(AnswerKind.MayHaveRun)
   expect(again.answer).toEqual(answer)
   const report = await trial.judge()
   expect(report.faults).toEqual([])
@@ -57,7 +57,7 @@
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
   await trial.untilStarted('silent')
 
-  trial.fleet.link(LinkKind.Target, 'agent-1').freeze(LinkState.SilentToClient)
+  trial.fleet.link(LinkKind.Target, 'agent-1').stall(LinkState.StalledToClient)
   const again = trial.caller.send(job, trial.entry(2).callersUrl)
   await trial.until('the first tasks to end', async () => (await trial.starts('silent')).some(start => start.finishedAt !== undefined))
   trial.fleet.link(LinkKind.Target, 'agent-1').restore()
