--- a/packages/standins/src/audit.ts
+++ b/packages/standins/src/audit.ts
@@ -1,34 +1,34 @@
 /**
- * Judges a run from the targets' own records against the callers' answers. Both are taken from the
- * same machine, so that their clock readings can be compared.
+ * Audits a run: compares the start records of the targets with the answers to the callers. Both come
+ * from the same machine, so that their timestamps can be compared.
  */
 import type { AnswerBody, JobRecord, StartRecord, StandInResult, TargetRecords } from './records.ts'
 import { AnswerKind, StartOutcome, taskKey } from './records.ts'
 
-/** Counts of one run. Each job is counted once among the first six after `jobs`. */
+/** Counts of one run. Each job is counted in exactly one of `complete` to `lost`. */
 export interface AuditCounts {
   jobs: number
-  /** Complete answers whose every result is its own task's and has a finished start. */
+  /** Jobs with a complete answer in which every result belongs to its task and has a finished start. */
   complete: number
   failed: number
   refused: number
   mayHaveRun: number
-  /** Jobs without a final answer, or with a complete answer that the records do not bear out. */
+  /** Jobs without a final answer, or with a complete answer that the records do not confirm. */
   lost: number
-  /** Tasks that started more than once over all targets. */
+  /** Tasks that started more than once across all targets. */
   doubled: number
-  /** Jobs that were told "not run" although a task of theirs had started. */
+  /** Jobs that were answered "not run" although one of their tasks had started. */
   refusedButRan: number
 }
 
-/** What an audit found. */
+/** Result of an audit. */
 export interface AuditReport {
   counts: AuditCounts
-  /** One line for each fault, for a person. */
+  /** One readable line for each fault. */
   faults: string[]
-  /** Tasks that started at all. */
+  /** Tasks that started at least once. */
   starts: number
-  /** How often a target was asked for a run while all its slots were held. */
+  /** How often a target received a request while all of its slots were occupied. */
   askedAboveSlots: number
 }
 
@@ -42,7 +42,7 @@
 
 type StartsByTask = Map<string, StartRecord[]>
 
-/** A target dropped records, so that nothing can be said about its starts. */
+/** A target dropped records, so that its starts cannot be audited. */
 export class IncompleteRecordsError extends Error {
   readonly code = 'INCOMPLETE_RECORDS'
 
@@ -52,7 +52,7 @@
   }
 }
 
-/** Compares what callers were told with what targets ran. Throws when records are incomplete. */
+/** Compares the answers to the callers with the starts at the targets. Throws when records are incomplete. */
 export function audit (jobs: readonly JobRecord[], targets: readonly TargetRecords[]): AuditReport {
   const starts = startsByTask(targets)
   const report: AuditReport = {
@@ -66,7 +66,7 @@
   return report
 }
 
-/** Whether the run kept the promises. */
+/** Whether no job was lost, no task started twice and no refusal was wrong. */
 export function isClean (report: AuditReport): boolean {
   const { lost, doubled, refusedButRan } = report.counts
   return lost === 0 && doubled === 0 && refusedButRan === 0
@@ -114,6 +114,7 @@
   [AnswerKind.MayHaveRun]: Verdict.MayHaveRun
 }
 
+/** Describes why the records do not confirm a complete answer; undefined when they do. */
 function findCompleteAnswerFault (job: JobRecord, answer: AnswerBody, starts: StartsByTask): string | undefined {
   const { tenant, job: id, tasks } = job.submission
   if (answer.job !== id) return `answer of job ${answer.job}`
@@ -135,9 +136,9 @@
 }
 
 /**
- * A refusal says that no task of the job was started and none will be from what was submitted so
- * far. Only a later submission may start one, so a start before the next submission, or any start
- * when there is none, gives the refusal the lie.
+ * Finds a start that contradicts a refusal. A refusal promises that no task of the job has started
+ * and that none will start from the submissions so far. Only a later submission may start one, so
+ * any start before the next submission is a fault, and any start at all when there is none.
  */
 function findStartDespiteRefusal (job: JobRecord, starts: StartsByTask): StartRecord | undefined {
   const refusedUntil = refusalEnd(job)
@@ -150,7 +151,7 @@
   return undefined
 }
 
-/** Time before which the job's last refusal allows no start; undefined when it was never refused. */
+/** Time before which the last refusal of the job permits no start; undefined when it was never refused. */
 function refusalEnd (job: JobRecord): number | undefined {
   const last = job.attempts.findLastIndex(attempt => attempt.answer?.kind === AnswerKind.Refused)
   if (last < 0) return undefined
--- a/packages/standins/src/balancer.ts
+++ b/packages/standins/src/balancer.ts
@@ -1,16 +1,17 @@
-/** Stand-in for the platform's balancer: a round robin over the entries that say they are ready. */
+/** Stand-in for the platform's load balancer. */
 import { request } from 'undici'
 import type { Dispatcher } from 'undici'
 
 import { READINESS_INTERVAL, READINESS_TIMEOUT } from './defaults.ts'
 
-/** Round robin over entries that answer `/readyz`; one that refuses a connection is left out at once. */
+/** Round robin over the entries whose `/readyz` answers 200. The caller removes an entry that refuses a connection. */
 export class Balancer {
   readonly #entries: readonly string[]
   readonly #dispatcher: Dispatcher
   readonly #ready = new Set<string>()
   readonly #checking = new Set<string>()
   #timer: NodeJS.Timeout | undefined
+  /** Increases with each call of {@link next}; its remainder selects the entry. */
   #nextIndex = 0
 
   /** `entries` are base URLs without a final slash. */
@@ -31,12 +32,12 @@
     clearInterval(this.#timer)
   }
 
-  /** Entries that are ready now. */
+  /** Entries that are currently ready. */
   ready (): string[] {
     return this.#entries.filter(entry => this.#ready.has(entry))
   }
 
-  /** The next ready entry, another than `previous` when there is one; undefined when none is ready. */
+  /** The next ready entry, preferably not `previous`; undefined when none is ready. */
   next (previous?: string): string | undefined {
     const ready = this.ready()
     const others = ready.filter(entry => entry !== previous)
@@ -44,7 +45,7 @@
     return candidates[this.#nextIndex++ % candidates.length]
   }
 
-  /** Leaves an entry out until a check finds it ready again. */
+  /** Removes an entry until a check finds it ready again. */
   drop (entry: string): void {
     this.#ready.delete(entry)
   }
--- a/packages/standins/src/caller.ts
+++ b/packages/standins/src/caller.ts
@@ -1,6 +1,7 @@
 /**
- * A caller as the platform has them: sends jobs through the balancer, and when it believes one lost
- * sends the same job again through another entry, unchanged. It keeps every answer it received.
+ * Stand-in for a caller of the platform. It submits jobs through the balancer. When a submission
+ * fails or gets no answer in time, it submits the same job unchanged through another entry. It keeps
+ * every answer that it received.
  */
 import { setTimeout as delay } from 'node:timers/promises'
 
@@ -17,17 +18,17 @@
 export interface CallerOptions {
   /** Base URLs of the entries, without a final slash. */
   entries: readonly string[]
-  /** Time after which a submission without an answer counts as lost. @default 10000 */
+  /** Time after which a submission without an answer fails. @default 10000 */
   submissionTimeout?: number
-  /** Time from the first submission after which a job is given up. @default 40000 */
+  /** Time from the first submission after which a job is abandoned. @default 40000 */
   giveUp?: number
-  /** Submissions of one job that may be answered by a refusal with a time to come back. @default 8 */
+  /** Number of refusals of one job after which a refusal is final, even with a time to retry. @default 8 */
   maxRefusals?: number
 }
 
 const ANSWER_KINDS: ReadonlySet<unknown> = new Set(Object.values(AnswerKind))
 
-/** Sends jobs and records what came of each. */
+/** Submits jobs and records the submissions and the final answer of each. */
 export class Caller {
   readonly #options: Required<CallerOptions>
   readonly #dispatcher = new Agent({ connections: CALLER_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 })
@@ -49,23 +50,23 @@
     return this.#balancer.start()
   }
 
-  /** Stops the balancer and breaks open connections. */
+  /** Stops the balancer and closes open connections. */
   async close (): Promise<void> {
     this.#balancer.stop()
     await this.#dispatcher.destroy()
   }
 
-  /** Entries that are ready now. */
+  /** Entries that are currently ready. */
   readyEntries (): string[] {
     return this.#balancer.ready()
   }
 
-  /** Every job so far, in order of submission. */
+  /** All jobs in order of submission. */
   records (): readonly JobRecord[] {
     return this.#records
   }
 
-  /** Submits a job until it has a final answer or is given up. Never rejects. */
+  /** Submits a job until it has a final answer or is abandoned. Never rejects. */
   async submit (submission: JobSubmission): Promise<JobRecord> {
     const record: JobRecord = { submission, submittedAt: Date.now(), attempts: [] }
     this.#records.push(record)
@@ -80,7 +81,7 @@
     return record
   }
 
-  /** One submission through the next ready entry; undefined when none is ready. */
+  /** Submits a job once, through the next ready entry. Resolves to undefined when none is ready. */
   async #attempt (record: JobRecord, body: string, giveUpAt: number): Promise<Attempt | undefined> {
     const entry = this.#balancer.next(record.attempts.at(-1)?.entry)
     if (entry === undefined) return undefined
@@ -114,7 +115,7 @@
     attempt.answer = withRetryAfter(answer as AnswerBody, response.headers['retry-after'])
   }
 
-  /** Time to wait before the job is sent again; undefined when the answer is final. */
+  /** Milliseconds to wait before the job is submitted again; undefined when the answer is final. */
   #retryDelay (record: JobRecord, attempt: Attempt): number | undefined {
     const { answer } = attempt
     if (answer === undefined) return RESUBMIT_DELAY
@@ -129,7 +130,7 @@
   }
 }
 
-/** The answer's own figure goes first: the header counts in whole seconds. */
+/** Adds the time to retry from the header. The value in the body takes precedence, because the header has whole seconds only. */
 function withRetryAfter (answer: AnswerBody, header: string | string[] | undefined): AnswerBody {
   if (answer.retryAfterMilliseconds !== undefined || typeof header !== 'string') return answer
   return { ...answer, retryAfterMilliseconds: Number(header) * 1000 }
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -1,8 +1,8 @@
 /**
- * The demo: a whole system as separate processes serves several hundred jobs while an entry and an
- * agent are killed and a provider's share is changed. The targets' own records say what came of it.
- * Exits 0 when no job was lost, no task doubled and no "not run" was false. `--seed` picks another
- * load.
+ * The demo: a complete system of separate processes serves several hundred jobs while an entry and
+ * an agent are killed and a provider's share is changed. The result is audited from the records of
+ * the targets. Exits with 0 when jobs completed, no job was lost, no task started twice and no
+ * "not run" was wrong. `--seed` selects another load.
  */
 import { writeFile } from 'node:fs/promises'
 import { dirname, join } from 'node:path'
@@ -30,13 +30,13 @@
 const READY_POLL = 50
 const FAULT_LINES = 20
 
-/** Time within which an accepted configuration is in force everywhere, in milliseconds. */
+/** Time within which an accepted configuration takes effect everywhere, in milliseconds. */
 const SHARES_PROPAGATION_TIME = 4_000
 
 const INITIAL_SHARES = { 'provider-a': 60, 'provider-b': 40 }
 const LATER_SHARES = { 'provider-a': 20, 'provider-b': 80 }
 
-/** What happens during the load, in milliseconds from its start. */
+/** Events during the load. Times are in milliseconds from its start. */
 const EVENTS: ReadonlyArray<{ at: number, run: (demo: Demo) => Promise<void> }> = [
   { at: 5_000, run: demo => demo.killEntry(1) },
   { at: 8_000, run: demo => demo.restartEntry(1) },
@@ -45,7 +45,7 @@
   { at: 15_000, run: demo => demo.apply(1, LATER_SHARES) }
 ]
 
-/** The command-line tool did not apply a configuration. */
+/** The command-line tool failed to apply a configuration. */
 class ApplyFailedError extends Error {
   readonly code = 'APPLY_FAILED'
 
@@ -111,7 +111,7 @@
     await this.#restart(daemonAt(this.fleet.agents, index))
   }
 
-  /** A line for the person who watches. */
+  /** Prints a line with the elapsed time. */
   print (text: string): void {
     const seconds = ((performance.now() - this.#startedAt) / 1000).toFixed(1).padStart(5)
     console.log(`${seconds} s  ${text}`)
--- a/packages/standins/src/fetchrecords.ts
+++ b/packages/standins/src/fetchrecords.ts
@@ -1,16 +1,16 @@
-/** Reads the start records of stand-in targets. */
+/** Reads the start records of target stand-ins. */
 import { request } from 'undici'
 
 import { POLL_INTERVAL, SETTLE_TIMEOUT } from './defaults.ts'
 import type { TargetRecords } from './records.ts'
 import { waitFor } from './wait.ts'
 
-/** The records of every target; rejects when one cannot be reached. */
+/** Fetches the records of every target. Rejects when one cannot be reached. */
 export async function fetchRecords (targets: readonly string[]): Promise<TargetRecords[]> {
   return await Promise.all(targets.map(fetchTarget))
 }
 
-/** The records once no target is running anything, so that no start is still to end. */
+/** Fetches the records once no target has a task running, so that every start has ended. */
 export async function fetchSettledRecords (targets: readonly string[]): Promise<TargetRecords[]> {
   let records: TargetRecords[] = []
   await waitFor('all targets to finish their runs', SETTLE_TIMEOUT, POLL_INTERVAL, async () => {
--- a/packages/standins/src/fleet.ts
+++ b/packages/standins/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A whole system on the loopback: the key-value stand-in, targets, agents and entries as separate
- * processes, with their settings files in a temporary folder.
+ * A complete system on the loopback interface: the key-value stand-in, targets, agents and entries
+ * as separate processes, with their settings files in a temporary folder.
  */
 import { rmSync } from 'node:fs'
 import { mkdtemp, writeFile } from 'node:fs/promises'
@@ -21,11 +21,11 @@
   /** Folder of the bundled programs. */
   programs: string
   entries: number
-  /** Agents, each with a target beside it. */
+  /** Number of agents. Each has its own target. */
   agents: number
-  /** Agents are dealt to the providers in turn. @default ['provider-a', 'provider-b'] */
+  /** Providers, to which agents are assigned round robin. @default ['provider-a', 'provider-b'] */
   providers?: readonly string[]
-  /** @default ['gulf-1', 'gulf-2', 'gulf-3'] */
+  /** Data centres, to which daemons are assigned round robin. @default ['gulf-1', 'gulf-2', 'gulf-3'] */
   dataCentres?: readonly string[]
   /** Services of every target. @default ['label-check', 'certificate'] */
   services?: readonly string[]
@@ -37,13 +37,13 @@
   policy?: string
   /** @default 'info' */
   logLevel?: string
-  /** Options for node itself when it runs a daemon. */
+  /** Options for Node.js itself when it runs a daemon. */
   nodeArguments?: readonly string[]
-  /** Puts a {@link LinkRelay} into every link: see {@link Fleet.link}. @default false */
+  /** Inserts a {@link LinkRelay} into every link: see {@link Fleet.link}. @default false */
   relays?: boolean
 }
 
-/** Kinds of link that a fleet can relay. */
+/** Links that a fleet can relay. */
 export enum LinkKind {
   /** From a daemon to the store. */
   Store = 'store',
@@ -53,15 +53,15 @@
   Target = 'target'
 }
 
-/** One daemon: how to reach it, and its process while it runs. */
+/** One daemon: its addresses, and its process once started. */
 export interface Daemon {
   id: string
   settingsFile: string
   statusUrl: string
-  /** Where callers reach an entry; empty for an agent. */
+  /** Base URL of an entry for callers; empty for an agent. */
   callersUrl: string
   process?: LaunchedProcess
-  /** Logs of its runs that have ended. */
+  /** Logs of previous processes of this daemon. */
   earlierLogs: Array<readonly string[]>
 }
 
@@ -79,7 +79,7 @@
 const TARGET_MEMORY_MEGABYTES = 65_536
 const STORE_PREFIX = '/amaranthmast/'
 
-/** Starts, disturbs and stops a system. {@link stop} leaves no process and no file behind. */
+/** Starts a system, injects faults and stops it. {@link Fleet.stop} leaves no process and no file behind. */
 export class Fleet {
   readonly entries: Daemon[] = []
   readonly agents: Daemon[] = []
@@ -113,12 +113,12 @@
     return `http://${LOOPBACK}:${this.#storePort}`
   }
 
-  /** Process of the store, while it runs. */
+  /** Process of the store, once started. */
   get store (): LaunchedProcess | undefined {
     return this.#store
   }
 
-  /** Folder for files of this run; removed by {@link stop}. */
+  /** Folder for the files of this system; removed by {@link stop}. */
   get folder (): string {
     return this.#folder
   }
@@ -133,7 +133,7 @@
     return this.targets.map(target => target.url)
   }
 
-  /** Starts store, targets, agents and entries. Resolves when all say that they are ready. */
+  /** Starts the store, targets, agents and entries. Resolves when all have reported that they are up. */
   async start (): Promise<void> {
     await this.startStore()
     await this.startTargets()
@@ -141,7 +141,7 @@
     await this.startDaemons()
   }
 
-  /** Starts the store only. The daemons' settings name it, so it comes first. */
+  /** Starts only the store. It must come first, because the daemons' settings contain its URL. */
   async startStore (): Promise<void> {
     await this.#makeFolder()
     if (this.#storePort === 0) this.#storePort = await this.#ports.pick()
@@ -166,7 +166,7 @@
     await Promise.all(this.targets.map(target => this.startTarget(target)))
   }
 
-  /** Starts one target that does not run. */
+  /** Starts one target that is not running. */
   async startTarget (target: Target): Promise<void> {
     target.process = await this.#group.launch({
       name: target.id,
@@ -176,12 +176,12 @@
     })
   }
 
-  /** Starts every entry and agent together. */
+  /** Starts all entries and agents concurrently. */
   async startDaemons (): Promise<void> {
     await Promise.all([...this.entries, ...this.agents].map(daemon => this.startDaemon(daemon)))
   }
 
-  /** Starts one entry or agent that does not run. Resolves when it is healthy. */
+  /** Starts one entry or agent that is not running. Resolves when it is healthy. */
   async startDaemon (daemon: Daemon): Promise<void> {
     await this.#reopenPeersLink(daemon)
     if (daemon.process !== undefined) daemon.earlierLogs.push(daemon.process.log)
@@ -194,13 +194,13 @@
     })
   }
 
-  /** Kills an entry or agent with SIGKILL. From then on connections to it are refused. */
+  /** Kills an entry or agent with SIGKILL. Connections to it are then refused, also those through its relay. */
   async killDaemon (daemon: Daemon): Promise<void> {
     await daemon.process?.kill()
     await this.#links.get(linkName(LinkKind.Peers, daemon.id))?.close()
   }
 
-  /** Whether a daemon says that it is ready for work. */
+  /** Whether a daemon reports that it is ready for work. */
   isReady (daemon: Daemon): Promise<boolean> {
     return answersOk(`${daemon.statusUrl}/readyz`)
   }
@@ -211,21 +211,21 @@
     await response.body.dump()
   }
 
-  /** The relay of a link, by the id of the daemon that it belongs to. Throws without `relays`. */
+  /** The relay of a daemon's link. Throws unless `relays` is set. */
   link (kind: LinkKind, daemonId: string): LinkRelay {
     const link = this.#links.get(linkName(kind, daemonId))
     if (link === undefined) throw new RangeError(`no relayed link ${kind} of ${daemonId}: set relays to true`)
     return link
   }
 
-  /** Runs a bundled program to its end. Resolves to its exit code and its lines. */
+  /** Runs a bundled program to its end. Resolves to its exit code and its output lines. */
   async run (program: string, programArguments: readonly string[]): Promise<{ code: number | null, log: readonly string[] }> {
     const launched = this.#group.start({ name: program, script: this.#program(program), arguments: programArguments })
     await launched.ended
     return { code: launched.exitCode, log: launched.log }
   }
 
-  /** Stops everything: entries gracefully, then agents, targets and store. Resolves to the names of those that had to be killed. */
+  /** Stops entries, agents, targets and store in this order, with SIGTERM first. Resolves to the names of those that needed SIGKILL. */
   async stop (): Promise<string[]> {
     const killed = [...await stopAll(this.entries), ...await stopAll(this.agents)]
     killed.push(...await stopAll(this.targets), ...await this.#group.stop())
@@ -303,7 +303,7 @@
     }
   }
 
-  /** Port to use for a link: the relay's when links are relayed, else the one given. */
+  /** Port for a link: that of a new relay if links are relayed, otherwise the given one. */
   async #relayPort (kind: LinkKind, daemonId: string, port: number): Promise<number> {
     if (!this.#options.relays) return port
     const link = new LinkRelay(port)
@@ -329,7 +329,7 @@
   }
 }
 
-/** Stops processes at the same time. Resolves to the names of those that had to be killed. */
+/** Stops processes concurrently. Resolves to the names of those that needed SIGKILL. */
 async function stopAll (members: ReadonlyArray<{ id: string, process?: LaunchedProcess }>): Promise<string[]> {
   const running = members.filter(member => member.process?.isRunning)
   const stoppedGracefully = await Promise.all(running.map(member => member.process?.stop()))
@@ -344,7 +344,7 @@
   return new URL(url).port
 }
 
-/** The stand-ins say `{"listening":port}` on stdout when they are ready. */
+/** Whether a line is `{"listening":port}`, which stand-ins print on stdout when they are ready. */
 function isListening (line: string): boolean {
   return line.startsWith('{"listening"')
 }
--- a/packages/standins/src/fleetdocuments.ts
+++ b/packages/standins/src/fleetdocuments.ts
@@ -1,12 +1,13 @@
-/** Documents as the platform's operator and clients write them. */
+/** Documents in the form in which the platform's operator and clients write them. */
 
+/** Name, host and path prefix of a route. */
 export interface WireRouteOptions {
   name: string
   host: string
   prefix: string
 }
 
-/** A configuration for queues of the service `checks`, with the figures of the users' sites. */
+/** A configuration whose routes all lead to the service `checks`, with the values of the users' sites. */
 export function operatorConfiguration (version: number, routes: readonly WireRouteOptions[]): string {
   return JSON.stringify({
     version,
@@ -16,7 +17,7 @@
   })
 }
 
-/** A best-effort job of one step, each task on two cores. */
+/** A best-effort job of one step whose tasks occupy two cores each. `estimated` is in milliseconds. */
 export function clientJob (count: number, estimated: number, extra: object = {}): string {
   return JSON.stringify({ spec: 'text', best_effort: true, steps: [{ count, cpu: 2000, mem_mb: 64, estimated_ms: estimated }], ...extra })
 }
--- a/packages/standins/src/fleetmain.ts
+++ b/packages/standins/src/fleetmain.ts
@@ -1,6 +1,6 @@
 /**
- * A small system to try things on: the store's stand-in, 3 entries, and 4 agents with their targets
- * over 2 providers. It prints what a shell needs to reach it and runs until it is interrupted.
+ * A small system for trying the software out: the store stand-in, 3 entries, and 4 agents with their
+ * targets at 2 providers. It prints the variables that a shell needs and runs until it is interrupted.
  */
 import { once } from 'node:events'
 import { dirname } from 'node:path'
--- a/packages/standins/src/httpserver.ts
+++ b/packages/standins/src/httpserver.ts
@@ -1,10 +1,10 @@
-/** Small helpers for the stand-ins' HTTP listeners. */
+/** Helpers for the HTTP listeners of the stand-ins. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
 import { LOOPBACK } from './defaults.ts'
 
-/** A request body was larger than the bound. */
+/** A request body exceeded the limit. */
 export class BodyTooLargeError extends Error {
   readonly code = 'BODY_TOO_LARGE'
 
@@ -14,7 +14,7 @@
   }
 }
 
-/** Reads a body as JSON; an empty body is `{}`. Throws on text that is no JSON. */
+/** Reads a body of at most `limit` bytes as JSON. An empty body is `{}`. Throws on invalid JSON. */
 export async function readJson (request: IncomingMessage, limit: number): Promise<unknown> {
   const chunks: Buffer[] = []
   let length = 0
@@ -35,7 +35,7 @@
   response.end(text)
 }
 
-/** Starts listening on the loopback; port 0 lets the system pick one. Resolves to the port. */
+/** Starts listening on the loopback interface. Port 0 lets the system pick one. Resolves to the port. */
 export function listen (server: Server, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject)
@@ -46,7 +46,7 @@
   })
 }
 
-/** Stops listening and breaks every open connection. */
+/** Stops listening and closes every open connection. */
 export function closeServer (server: Server): Promise<void> {
   return new Promise(resolve => {
     server.close(() => resolve())
--- a/packages/standins/src/keyvaluegateway.ts
+++ b/packages/standins/src/keyvaluegateway.ts
@@ -227,6 +227,7 @@
     }
   }
 
+  /** Whether a comparison of a transaction is true as of `revision`. */
   #holds (compare: Compare, revision: number): boolean {
     const version = this.#state.get(decodeKey(compare.key), revision)
     if (compare.target === 'VALUE') {
--- a/packages/standins/src/linkrelay.ts
+++ b/packages/standins/src/linkrelay.ts
@@ -1,27 +1,27 @@
 /**
- * A loopback TCP relay between two processes, to cut, silence and restore the link between them.
- * A silence shorter than TCP's own patience loses nothing: bytes and closings are held and go on
- * afterwards, as retransmission would bring them.
+ * Loopback TCP relay between two processes that can reset, stall and restore the link between them.
+ * A stall loses nothing: bytes and the end of a connection are held back and forwarded afterwards.
+ * This matches a real outage that is shorter than TCP's retransmission timeout.
  */
 import { createServer, connect } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 
 import { LOOPBACK } from './defaults.ts'
 
-/** What a link does with traffic. */
+/** How a relay treats traffic. */
 export enum LinkState {
   Open = 'open',
   /** Connections are reset, new ones too. */
   Cut = 'cut',
-  /** Nothing that the dialling side sends arrives. */
+  /** Data from the connecting side is held back. */
   StalledToServer = 'silentToServer',
-  /** Nothing that the listening side sends arrives. */
+  /** Data from the listening side is held back. */
   StalledToClient = 'silentToClient',
-  /** Nothing arrives either way. */
+  /** Data is held back in both directions. */
   Stalled = 'silent'
 }
 
-/** A link's rate, shared by all relays that stand for connections over that link. */
+/** Bandwidth of a link, shared by all relays whose connections use that link. */
 export class LinkRate {
   readonly #bytesPerSecond: number
   #freeAt = 0
@@ -30,7 +30,7 @@
     this.#bytesPerSecond = bytesPerSecond
   }
 
-  /** Milliseconds until these bytes have passed. */
+  /** Reserves bandwidth for the given number of bytes. Returns the milliseconds until they have been transferred. */
   delay (bytes: number): number {
     const now = performance.now()
     this.#freeAt = Math.max(now, this.#freeAt) + bytes / this.#bytesPerSecond * MILLISECONDS_PER_SECOND
@@ -44,20 +44,20 @@
 interface Pipe {
   from: Socket
   to: Socket
-  /** States in which this direction is silent. */
+  /** States in which this direction is stalled. */
   stalledIn: ReadonlySet<LinkState>
-  /** How `from` closed while the direction was silent; passed on when it is no more. */
+  /** Forwards the close of `from`, which happened during a stall, once the stall ends. */
   heldClose?: () => void
-  /** Bytes are on their way over a link with a rate. */
+  /** Bytes are in transfer over a link with limited bandwidth. */
   busy?: boolean
-  /** It carries nothing any more, though newer connections do. */
+  /** This connection is stalled for good, whatever the state of the relay. */
   stalled?: boolean
 }
 
 const STALLED_TO_SERVER: ReadonlySet<LinkState> = new Set([LinkState.Stalled, LinkState.StalledToServer])
 const STALLED_TO_CLIENT: ReadonlySet<LinkState> = new Set([LinkState.Stalled, LinkState.StalledToClient])
 
-/** A relay from a port of its own to a port on the loopback. */
+/** A relay from its own port to a port on the loopback interface. */
 export class LinkRelay {
   readonly #upstreamPort: number
   readonly #server: Server
@@ -67,7 +67,7 @@
   #relayedBytes = 0
   readonly #rate: LinkRate | undefined
 
-  /** @param rate of the link on which the dialling side receives; any without it */
+  /** @param rate bandwidth towards the connecting side; unlimited when omitted */
   constructor (upstreamPort: number, rate?: LinkRate) {
     this.#upstreamPort = upstreamPort
     this.#rate = rate
@@ -82,22 +82,22 @@
     return this.#server.listening
   }
 
-  /** Port on which it listens; 0 while it does not. */
+  /** Port on which the relay listens; 0 when it does not listen. */
   get port (): number {
     return (this.#server.address() as AddressInfo | null)?.port ?? 0
   }
 
-  /** Connections accepted so far, those that were reset at once included. */
+  /** Connections accepted so far, including those that were reset immediately. */
   get accepted (): number {
     return this.#accepted
   }
 
-  /** Bytes passed on to the dialling side so far. */
+  /** Bytes received for the connecting side so far. */
   get relayedBytes (): number {
     return this.#relayedBytes
   }
 
-  /** Starts listening, again after {@link close}; port 0 lets the system pick one. Resolves to the port. */
+  /** Starts listening, also again after {@link close}. Port 0 lets the system pick one. Resolves to the port. */
   listen (port = 0): Promise<number> {
     this.#state = LinkState.Open
     return new Promise((resolve, reject) => {
@@ -109,20 +109,20 @@
     })
   }
 
-  /** Resets every connection, and each new one until {@link restore}. */
+  /** Resets every open connection, and each new one until {@link restore}. */
   cut (): void {
     this.#state = LinkState.Cut
     for (const pipe of this.#pipes) pipe.from.resetAndDestroy()
     this.#pipes.clear()
   }
 
-  /** Lets nothing through in the given directions; connections stay open. */
+  /** Holds data back in the given directions until {@link restore}. Connections stay open. */
   stall (state: LinkState.Stalled | LinkState.StalledToServer | LinkState.StalledToClient = LinkState.Stalled): void {
     this.#state = state
     for (const pipe of this.#pipes) this.#apply(pipe)
   }
 
-  /** Connections that are open now carry nothing any more, without any sign; new ones work. */
+  /** Stalls the connections that are open now for good, without closing them. New connections work. */
   stallOpenConnections (): void {
     for (const pipe of this.#pipes) {
       pipe.stalled = true
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Lets everything through again, what was held first. */
+  /** Forwards everything again, starting with what was held back. Connections of {@link stallOpenConnections} stay stalled. */
   restore (): void {
     this.#state = LinkState.Open
     for (const pipe of this.#pipes) this.#apply(pipe)
@@ -168,8 +168,8 @@
   }
 
   #forwardBytes (pipe: Pipe, bytes: Buffer): void {
-    const { from, to, stalledIn: silentIn } = pipe
-    const toClient = silentIn === STALLED_TO_CLIENT
+    const { from, to, stalledIn } = pipe
+    const toClient = stalledIn === STALLED_TO_CLIENT
     if (toClient) this.#relayedBytes += bytes.length
     if (!toClient || this.#rate === undefined) {
       if (!to.write(bytes)) from.pause()
@@ -183,7 +183,7 @@
     }, this.#rate.delay(bytes.length))
   }
 
-  /** Carries a closing out, or holds it while the direction is silent. */
+  /** Forwards a close, or holds it back while the direction is stalled. */
   #forwardClose (pipe: Pipe, close: () => void): void {
     if (!this.#isStalled(pipe)) return close()
     const earlierClose = pipe.heldClose
@@ -198,6 +198,7 @@
     if (pipe.from.destroyed && !pipe.to.writableEnded) pipe.to.destroySoon()
   }
 
+  /** Pauses or resumes reading as the state requires, and forwards a close that was held back. */
   #apply (pipe: Pipe): void {
     if (this.#isStalled(pipe)) {
       pipe.from.pause()
--- a/packages/standins/src/load.ts
+++ b/packages/standins/src/load.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded open-loop load: jobs are lodged at their times whether or not earlier ones are answered,
- * so that a slow system meets a growing queue, as it does with real callers.
+ * Seeded open-loop load. Jobs are submitted at their planned times whether or not earlier ones are
+ * answered, so that the queue of a slow system grows as it does with real callers.
  */
 import { setTimeout as delay } from 'node:timers/promises'
 
@@ -9,7 +9,7 @@
 import { SeededRandom } from './random.ts'
 import type { JobSubmission, TaskSubmission } from './records.ts'
 
-/** One kind of work that callers lodge. */
+/** Tenant, service and repeatability of jobs. Each job belongs to a random class. */
 export interface LoadClass {
   tenant: string
   service: string
@@ -19,33 +19,33 @@
 /** Options of a load. */
 export interface LoadOptions {
   seed: number
-  /** Jobs lodged per second, on average, bursts included. */
+  /** Average number of jobs per second, bursts included. */
   rate: number
   seconds: number
-  /** Factor on run times: 1 gives 50 ms to 1 s, few of several seconds. @default 1 */
+  /** Factor on run times; 1 gives mostly 50 ms to 1 s and a few of up to 5 s. @default 1 */
   scale?: number
   /** Seconds between bursts; 0 for none. @default 5 */
   burstEvery?: number
-  /** Part of all jobs that come in bursts, 0 to 1. @default 0.2 */
+  /** Fraction of all jobs that are submitted in bursts, 0 to 1. @default 0.2 */
   burstFraction?: number
-  /** Start of the job ids, so that two loads do not share any. @default `load-{seed}` */
+  /** Prefix of the job ids, so that the ids of two loads differ. @default `load-{seed}` */
   prefix?: string
   classes?: readonly LoadClass[]
 }
 
-/** A job and the time at which it is lodged, in milliseconds from the start of the load. */
+/** A job and the time at which it is submitted, in milliseconds from the start of the load. */
 export interface PlannedJob {
   at: number
   submission: JobSubmission
 }
 
-/** The kinds of work of a load that states none. */
+/** Default classes of a load. */
 export const LOAD_CLASSES: readonly LoadClass[] = [
   { tenant: 'magnolia', service: 'label-check', repeatable: true },
   { tenant: 'vaalrand', service: 'certificate', repeatable: false }
 ]
 
-/** Task counts: each line is a part of all jobs and its range. The largest job has 140 tasks. */
+/** Distribution of task counts per job: the cumulative fraction of jobs, and the range of their counts. */
 const TASK_COUNTS: ReadonlyArray<{ cumulativeFraction: number, low: number, high: number }> = [
   { cumulativeFraction: 0.6, low: 1, high: 1 },
   { cumulativeFraction: 0.9, low: 2, high: 8 },
@@ -53,16 +53,19 @@
   { cumulativeFraction: 1, low: 41, high: 140 }
 ]
 
+/** Tasks of the largest job. Each load contains at least one job of this size. */
 const MAX_TASKS = 140
+/** Run times in milliseconds at scale 1. Up to `MAX_COMMON_RUN`, except for `LONG_RUN_FRACTION` of the tasks. */
 const MIN_RUN = 50
 const MAX_COMMON_RUN = 1_000
 const MAX_RUN = 5_000
 const LONG_RUN_FRACTION = 0.01
-/** Declared run times are off by up to this factor either way. */
+/** Maximum factor by which a declared run time is above or below the real one. */
 const DECLARATION_ERROR = 4
+/** Milliseconds over which the jobs of a burst are spread. */
 const BURST_SPREAD = 50
 
-/** All jobs of a load in order of time: the same options give the same jobs. */
+/** Plans all jobs of a load, sorted by time. The same options give the same jobs. */
 export function planLoad (options: LoadOptions): PlannedJob[] {
   const { seed, rate, seconds, scale = 1, prefix = `load-${seed}`, classes = LOAD_CLASSES } = options
   const random = new SeededRandom(seed)
@@ -75,7 +78,7 @@
   })
 }
 
-/** Lodges the jobs at their times. Resolves when each is answered or given up. */
+/** Submits the jobs at their times. Resolves when each is answered or abandoned. */
 export async function runLoad (plan: readonly PlannedJob[], caller: Caller): Promise<void> {
   const startedAt = performance.now()
   const pending: Array<Promise<unknown>> = []
--- a/packages/standins/src/loadmain.ts
+++ b/packages/standins/src/loadmain.ts
@@ -1,6 +1,6 @@
 /**
- * The load tool: `node dist/load.js --entries URL,URL --rate 50 --seconds 10 --seed 1`. Prints a
- * JSON summary; with `--targets URL,URL` it also audits the run from the targets' records.
+ * Load generator: `node dist/load.js --entries URL,URL --rate 50 --seconds 10 --seed 1`. Prints a
+ * JSON summary. With `--targets URL,URL` it also audits the run from the records of the targets.
  */
 import { parseArgs } from 'node:util'
 
--- a/packages/standins/src/loadsummary.ts
+++ b/packages/standins/src/loadsummary.ts
@@ -1,4 +1,4 @@
-/** Summary of what callers saw: answers by kind, submissions, and response times against the ideal. */
+/** Summary of a load: answers by kind, submissions, and response times compared with the ideal. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 
@@ -14,15 +14,15 @@
   max: number
 }
 
-/** Response times of some of the jobs that were answered completely. */
+/** Response times of the jobs, or of one tenant's jobs, with a complete answer. */
 export interface ResponseSummary {
   /** Milliseconds from the first submission to the final answer. */
   responseMilliseconds: Percentiles
-  /** Response time over the ideal one; 1 is perfect. */
+  /** Response time divided by the ideal response time; 1 is perfect. */
   ratio: Percentiles
 }
 
-/** Summary of a load as its callers saw it. */
+/** Summary of a load as its callers measured it. */
 export interface LoadSummary extends ResponseSummary {
   jobs: number
   tasks: number
@@ -34,12 +34,12 @@
 
 const MAX_VALUE = 3_600_000_000
 const SIGNIFICANT_DIGITS = 3
-/** Histograms hold whole numbers: values are held in thousandths. */
+/** Histograms store integers, so values are stored in thousandths. */
 const VALUE_SCALE = 1_000
 
 /**
- * The least response time of a job: its longest task, or all of its tasks over all slots when that
- * is longer. Network legs on the loopback are not counted.
+ * Minimum possible response time of a job: the run time of its longest task, or the total run time
+ * divided by the slots if that is longer. Network time on the loopback interface is not included.
  */
 export function idealMilliseconds (record: JobRecord, slots: number): number {
   const runs = record.submission.tasks.map(task => task.payload.runMilliseconds ?? 0)
@@ -47,7 +47,7 @@
   return Math.max(1, total / slots, ...runs)
 }
 
-/** Summarises the jobs; `slots` is the number of slots of all targets together. */
+/** Summarises the jobs. `slots` is the total number of slots of all targets. */
 export function summarise (records: readonly JobRecord[], slots: number): LoadSummary {
   const tenants = new Set(records.map(record => record.submission.tenant))
   const ofTenant = (tenant: string): JobRecord[] => records.filter(record => record.submission.tenant === tenant)
--- a/packages/standins/src/ports.ts
+++ b/packages/standins/src/ports.ts
@@ -1,11 +1,11 @@
-/** Free ports on the loopback. */
+/** Free ports on the loopback interface. */
 import { once } from 'node:events'
 import type { Server } from 'node:net'
 import { createServer } from 'node:net'
 
 import { FIRST_PORT, LAST_PORT, LOOPBACK, PORT_BLOCK } from './defaults.ts'
 
-/** No port of the range is free. */
+/** No port in the range is free. */
 export class NoFreePortError extends Error {
   readonly code = 'NO_FREE_PORT'
 
@@ -16,13 +16,13 @@
 }
 
 /**
- * Hands out ports that were free when asked for, each once. They lie below the range from which
- * the operating system picks ports for connections, so that no connection takes one before the
- * process that it is meant for listens.
+ * Hands out free ports, each once. They lie below the range from which the operating system picks
+ * ports for connections, so that no connection takes a port before its process listens on it.
  *
- * Test files run side by side, and a port that is free while one picks may be taken by another's
- * daemon before the own one listens. So ports come in blocks, and a picker holds the first port of
- * each of its blocks open for as long as its process lives: no other picker uses that block.
+ * Test files run in parallel, and a port that was free when it was picked may be taken by the daemon
+ * of another test file before the intended process listens on it. Therefore ports come in blocks. A
+ * picker claims a block by listening on its first port until its process ends, and other pickers
+ * skip that block.
  */
 export class PortPicker {
   readonly #blockClaims: Server[] = []
@@ -62,7 +62,7 @@
   return Math.floor((LAST_PORT - FIRST_PORT) / PORT_BLOCK)
 }
 
-/** A server on the port, or nothing when the port is taken. */
+/** Resolves to a server that listens on the port, or to undefined when the port is taken. */
 function listenOn (port: number): Promise<Server | undefined> {
   return new Promise(resolve => {
     const server = createServer()
--- a/packages/standins/src/processes.ts
+++ b/packages/standins/src/processes.ts
@@ -1,6 +1,6 @@
 /**
- * Launches processes for the demo and for tests, and leaves none behind: not after an exception,
- * not on SIGINT. Processes are signalled by their own pid only.
+ * Launches processes for the demo and for tests, and leaves none behind, even after an exception or
+ * SIGINT. Processes are signalled by their own pid only.
  */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
@@ -12,23 +12,23 @@
 
 /** What to launch and when it counts as ready. */
 export interface LaunchOptions {
-  /** Name for logs and errors, one per process that runs. */
+  /** Name for logs and errors, unique among running processes. */
   name: string
   /** Path of the script. */
   script: string
   arguments?: readonly string[]
-  /** Options for node itself, before the script. */
+  /** Options for Node.js itself, before the script. */
   nodeArguments?: readonly string[]
   environment?: Readonly<Record<string, string>>
-  /** Says whether a line of stdout means "ready". */
+  /** Whether a line of stdout means that the process is ready. */
   readyLine?: (line: string) => boolean
-  /** Resolves to whether the process is ready; asked again until it is. */
+  /** Resolves to whether the process is ready. Polled until it is. */
   isReady?: () => Promise<boolean>
-  /** @default 15000 */
+  /** Milliseconds until the process must be ready. @default 15000 */
   timeout?: number
 }
 
-/** A launched process ended before it was ready. */
+/** A launched process ended before it was ready, or was not ready in time. */
 export class LaunchError extends Error {
   readonly code = 'LAUNCH_FAILED'
 
@@ -69,7 +69,7 @@
     return this.#child.pid ?? 0
   }
 
-  /** Exit code; null when it still runs or was ended by a signal. */
+  /** Exit code; null while the process runs or after a signal ended it. */
   get exitCode (): number | null {
     return this.#child.exitCode
   }
@@ -78,7 +78,7 @@
     return this.#child.pid !== undefined && this.#child.exitCode === null && this.#child.signalCode === null
   }
 
-  /** Whether a line of stdout has said that it is ready. */
+  /** Whether a line of stdout matched `readyLine`. */
   get readyLineSeen (): boolean {
     return this.#readyLineSeen
   }
@@ -98,23 +98,23 @@
     if (this.isRunning) this.#child.kill(name)
   }
 
-  /** Kills it with SIGKILL. Resolves when it has ended. */
+  /** Sends SIGKILL. Resolves when the process has ended. */
   async kill (): Promise<void> {
     this.signal('SIGKILL')
     await this.#ended
   }
 
-  /** Stops it with SIGSTOP: it is silent, its connections stay open. */
+  /** Sends SIGSTOP: the process stops responding and its connections stay open. */
   pause (): void {
     this.signal('SIGSTOP')
   }
 
-  /** Wakes it after {@link pause}. */
+  /** Sends SIGCONT after {@link pause}. */
   resume (): void {
     this.signal('SIGCONT')
   }
 
-  /** Asks it to end by SIGTERM, and kills it when it takes too long. Resolves to whether it ended by itself. */
+  /** Sends SIGTERM, and SIGKILL after the timeout. Resolves to whether the process ended without SIGKILL. */
   async stop (timeout = STOP_TIMEOUT): Promise<boolean> {
     this.signal('SIGCONT')
     this.signal('SIGTERM')
@@ -142,7 +142,7 @@
   }
 }
 
-/** Processes that are stopped together. */
+/** A group of processes that are stopped together. */
 export class ProcessGroup {
   readonly #processes: LaunchedProcess[] = []
   readonly #killAll = (): void => { for (const launched of this.#processes) launched.signal('SIGKILL') }
@@ -151,7 +151,7 @@
     process.exit(130)
   }
 
-  /** Guards against processes left behind when this one ends by a signal, an exception or `process.exit`. */
+  /** Installs handlers that kill the group's processes when this process ends by a signal, an exception or `process.exit`. */
   constructor () {
     process.on('exit', this.#killAll)
     process.on('SIGINT', this.#killAllAndExit)
@@ -159,14 +159,14 @@
     process.on('SIGHUP', this.#killAllAndExit)
   }
 
-  /** Starts a process without waiting for anything. */
+  /** Starts a process without waiting until it is ready. */
   start (options: LaunchOptions): LaunchedProcess {
     const launched = new LaunchedProcess(options)
     this.#processes.push(launched)
     return launched
   }
 
-  /** Launches a process. Resolves when it is ready; rejects with a {@link LaunchError} when it is not in time. */
+  /** Launches a process. Resolves when it is ready; rejects with a {@link LaunchError} when it ends or times out first. */
   async launch (options: LaunchOptions): Promise<LaunchedProcess> {
     const launched = this.start(options)
     const isReady = options.isReady ?? (async () => options.readyLine === undefined || launched.readyLineSeen)
@@ -183,12 +183,12 @@
     throw new LaunchError(options.name, 'it ended before it was ready', launched.log)
   }
 
-  /** Processes that run, in order of launch. */
+  /** Running processes in order of launch. */
   running (): LaunchedProcess[] {
     return this.#processes.filter(launched => launched.isRunning)
   }
 
-  /** Stops all, the latest first, and gives the guards up. Resolves to the names of those that had to be killed. */
+  /** Stops all processes, the latest first, and removes the handlers. Resolves to the names of those that needed SIGKILL. */
   async stop (): Promise<string[]> {
     const killed: string[] = []
     for (const launched of this.running().reverse()) {
--- a/packages/standins/src/random.ts
+++ b/packages/standins/src/random.ts
@@ -1,9 +1,9 @@
-/** A small seeded generator of random numbers, so that a run can be repeated. */
+/** Seeded random number generator, so that runs can be reproduced. */
 
 const INCREMENT = 0x6d2b79f5
 const TWO_TO_32 = 4294967296
 
-/** Mulberry32: one 32-bit state, numbers in [0, 1). Good enough for load and faults, not for secrets. */
+/** Mulberry32 generator with 32 bits of state. Suitable for loads and faults, not for cryptography. */
 export class SeededRandom {
   #state: number
 
@@ -20,17 +20,17 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / TWO_TO_32
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** An integer from `low` to `high`, both inclusive. */
   integer (low: number, high: number): number {
     return low + Math.floor(this.next() * (high - low + 1))
   }
 
-  /** A number from `low` to `high` whose logarithm is spread evenly: mostly small, few large. */
+  /** A number from `low` to `high` with a log-uniform distribution: mostly small, few large. */
   logarithmic (low: number, high: number): number {
     return low * Math.pow(high / low, this.next())
   }
 
-  /** One of the items, each as likely as the others. */
+  /** One of the items, chosen uniformly. Throws a `RangeError` when there are none. */
   pick<Item> (items: readonly Item[]): Item {
     const item = items[this.integer(0, items.length - 1)]
     if (item === undefined) throw new RangeError('pick needs at least one item')
--- a/packages/standins/src/records.ts
+++ b/packages/standins/src/records.ts
@@ -1,15 +1,15 @@
-/** What targets write down and what callers keep: the two sides that an audit compares. */
+/** Records of the targets and of the callers, which an audit compares. */
 
 /** How a start at a target ended. */
 export enum StartOutcome {
   Running = 'running',
   Finished = 'finished',
   Failed = 'failed',
-  /** The run was stopped before its end because its requester went away. */
+  /** The run was aborted because its requester disconnected. */
   Aborted = 'aborted'
 }
 
-/** One start of one task at one target. Times are in milliseconds since 1970. */
+/** One start of one task at one target. Times are in Unix milliseconds. */
 export interface StartRecord {
   target: string
   tenant: string
@@ -18,24 +18,24 @@
   task: number
   outcome: StartOutcome
   startedAt: number
-  /** When the run ended, unless it is still running or was aborted. */
+  /** When the run ended; absent while it is running and after an abort. */
   finishedAt?: number
   abortedAt?: number
 }
 
-/** What a target answers to `GET /records`. */
+/** Answer of a target to `GET /records`. */
 export interface TargetRecords {
   target: string
   slots: number
   running: number
-  /** How often a run was asked for while all slots were held. */
+  /** How often a run was requested while all slots were occupied. */
   askedAboveSlots: number
-  /** Starts that are not among the records, because the bound on them was reached. */
+  /** Number of starts without a record because the limit on records was reached. */
   dropped: number
   records: StartRecord[]
 }
 
-/** Result of a task at a stand-in target: it names the task that it belongs to. */
+/** Result of a task at a target stand-in. It names the task to which it belongs. */
 export interface StandInResult {
   tenant: string
   job: string
@@ -43,13 +43,13 @@
   target: string
 }
 
-/** What a stand-in target is told to do by the payload of a task. */
+/** Payload of a task, which controls how a target stand-in runs it. */
 export interface StandInPayload {
   runMilliseconds?: number
   fail?: boolean
 }
 
-/** Kinds of answer on the callers' interface. */
+/** Kinds of answer in the callers' interface. */
 export enum AnswerKind {
   Complete = 'complete',
   Failed = 'failed',
@@ -57,7 +57,7 @@
   Refused = 'refused'
 }
 
-/** Body of an answer on the callers' interface. */
+/** Body of an answer in the callers' interface. */
 export interface AnswerBody {
   kind: AnswerKind
   job: string
@@ -85,30 +85,30 @@
   tasks: TaskSubmission[]
 }
 
-/** One submission of a job through one entry and what came of it. */
+/** One submission of a job through one entry, with its answer or failure. */
 export interface Attempt {
   entry: string
   submittedAt: number
   endedAt: number
-  /** Absent when the connection broke, timed out or brought no readable answer. */
+  /** HTTP status; absent when the connection failed, timed out or delivered no JSON. */
   status?: number
   answer?: AnswerBody
-  /** Why there is no answer. */
+  /** Reason why there is no answer. */
   failure?: string
 }
 
-/** Everything that a caller knows of one of its jobs. */
+/** Record of one job at its caller. */
 export interface JobRecord {
   submission: JobSubmission
   submittedAt: number
-  /** Every submission in order, with every answer received. */
+  /** All submissions in order, with the answers received. */
   attempts: Attempt[]
-  /** The answer that the caller took as final; absent when it gave the job up. */
+  /** The answer that the caller accepted as final; absent until then and when the job is abandoned. */
   final?: AnswerBody
   finishedAt?: number
 }
 
-/** Key of one task over all targets. */
+/** Key that identifies a task across all targets. */
 export function taskKey (tenant: string, job: string, task: number): string {
   return `${tenant}/${job}/${task}`
 }
--- a/packages/standins/src/runintervals.ts
+++ b/packages/standins/src/runintervals.ts
@@ -1,32 +1,33 @@
-/** When runs of tasks were where, and which of them were at two places at once. */
+/** Intervals of runs, and a check for runs of the same task that overlap in time. */
 
-/** One run of a task at one place. Times are milliseconds on one clock for all places. */
+/** One run of a task at one worker. Times are in milliseconds of a clock that all workers share. */
 export interface RunInterval {
   task: string
   run: number
   from: number
   to: number
-  /** How it ended, or that it goes on. */
+  /** How the run ended, or `running`. */
   how: string
 }
 
-/** A run, and the place at which it was. */
+/** A run, and the index of the worker that ran it. */
 export interface PlacedRun extends RunInterval {
   place: number
 }
 
-/** Two runs of one task at one time. */
+/** Two runs of one task that overlap in time. */
 export interface RunOverlap {
   first: PlacedRun
   second: PlacedRun
-  /** How long both went on, in milliseconds. */
+  /** Duration of the overlap in milliseconds. */
   lasted: number
 }
 
 /**
- * Finds each run that began while an earlier one of its task went on; beside several it is compared with the one that ended last.
+ * Finds each run that began while an earlier run of its task was in progress. If there are several
+ * earlier ones, it is compared with the one that ended last.
  *
- * @param places the runs at each place, in any order
+ * @param places the runs of each worker, in any order
  */
 export function findOverlaps (places: ReadonlyArray<readonly RunInterval[]>): RunOverlap[] {
   const runs = places.flatMap((intervals, place) => intervals.map(interval => ({ ...interval, place })))
--- a/packages/standins/src/wait.ts
+++ b/packages/standins/src/wait.ts
@@ -1,17 +1,17 @@
-/** Waiting for a condition, with a bound. */
+/** Waiting for a condition with a timeout. */
 import { setTimeout as delay } from 'node:timers/promises'
 
-/** A condition did not come true in time. */
+/** A condition was not met in time. `cause` is the latest error of the check, if any. */
 export class WaitTimeoutError extends Error {
   readonly code = 'WAIT_TIMEOUT'
 
   constructor (what: string, timeout: number, cause: unknown) {
-    super(`waited ${timeout} ms for ${what} in vain`, { cause })
+    super(`waited ${timeout} ms for ${what}: timed out`, { cause })
     this.name = 'WaitTimeoutError'
   }
 }
 
-/** Looks every `interval` ms until `isTrue` resolves to true; a rejection counts as false. */
+/** Checks every `interval` ms until `condition` resolves to true. A rejection counts as false. */
 export async function waitFor (
   what: string, timeout: number, interval: number, condition: () => Promise<boolean> | boolean
 ): Promise<void> {
--- a/packages/standins/test/audit.test.ts
+++ b/packages/standins/test/audit.test.ts
@@ -69,10 +69,10 @@
 }
 
 const CASES: Case[] = [
-  { name: 'a sound complete answer', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: {} },
+  { name: 'a correct complete answer', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: {} },
   { name: 'a failed answer', job: answeredWith({ kind: AnswerKind.Failed, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, failed: 1 } },
   { name: 'an answer that it may have run', job: answeredWith({ kind: AnswerKind.MayHaveRun, job: 'j1' }), targets: BOTH_STARTED, counts: { complete: 0, mayHaveRun: 1 } },
-  { name: 'a true refusal', job: answeredWith(REFUSAL), targets: [], counts: { complete: 0, refused: 1 } },
+  { name: 'a correct refusal', job: answeredWith(REFUSAL), targets: [], counts: { complete: 0, refused: 1 } },
   { name: 'no final answer', job: jobOfTwo([attempt(100), attempt(200)]), targets: BOTH_STARTED, counts: { complete: 0, lost: 1 } },
   { name: 'too few results', job: answeredWith(completeWith([result(0, 't1')])), targets: BOTH_STARTED, counts: { complete: 0, lost: 1 } },
   { name: 'too many results', job: answeredWith(completeWith([...ONE_RESULT_EACH, result(1, 't2')])), targets: BOTH_STARTED, counts: { complete: 0, lost: 1 } },
@@ -90,16 +90,16 @@
   { name: 'a task started at two targets', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { doubled: 1 } },
   { name: 'a task started twice at one target', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [recordsOf('t1', [started(0, 't1'), started(0, 't1'), started(1, 't2')])], counts: { doubled: 1 } },
   { name: 'a second start that was aborted', job: answeredWith(completeWith(ONE_RESULT_EACH)), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3', { outcome: StartOutcome.Aborted })])], counts: { doubled: 1 } },
-  { name: 'a start of a job that failed, doubled', job: answeredWith({ kind: AnswerKind.Failed, job: 'j1' }), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { complete: 0, failed: 1, doubled: 1 } },
+  { name: 'a task of a failed job started at two targets', job: answeredWith({ kind: AnswerKind.Failed, job: 'j1' }), targets: [...BOTH_STARTED, recordsOf('t3', [started(1, 't3')])], counts: { complete: 0, failed: 1, doubled: 1 } },
   { name: 'a final refusal of a job that ran', job: answeredWith(REFUSAL), targets: [recordsOf('t1', [started(1, 't1')])], counts: { complete: 0, refused: 1, refusedButRan: 1 } },
   { name: 'a final refusal of a job that ran later', job: answeredWith(REFUSAL), targets: [recordsOf('t1', [started(1, 't1', { startedAt: 9000 })])], counts: { complete: 0, refused: 1, refusedButRan: 1 } },
   { name: 'a start before the submission that follows a refusal', job: jobOfTwo([attempt(100, REFUSAL), attempt(200, completeWith(ONE_RESULT_EACH))], completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: { refusedButRan: 1 } },
   { name: 'starts after the submission that follows a refusal', job: jobOfTwo([attempt(50, REFUSAL), attempt(105, completeWith(ONE_RESULT_EACH))], completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: {} },
-  { name: 'a start from a broken submission before a later refusal', job: jobOfTwo([attempt(100), attempt(160, REFUSAL), attempt(250, completeWith(ONE_RESULT_EACH))], completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: { refusedButRan: 1 } }
+  { name: 'a start from a failed submission before a later refusal', job: jobOfTwo([attempt(100), attempt(160, REFUSAL), attempt(250, completeWith(ONE_RESULT_EACH))], completeWith(ONE_RESULT_EACH)), targets: BOTH_STARTED, counts: { refusedButRan: 1 } }
 ]
 
 for (const { name, job, targets, counts } of CASES) {
-  test(`the audit judges ${name}`, () => {
+  test(`the audit classifies ${name}`, () => {
     const report = audit([job], targets)
     expect(report.counts).toEqual({ ...CLEAN, ...counts })
     expect(report.faults.length).toEqual((counts.lost ?? 0) + (counts.doubled ?? 0) + (counts.refusedButRan ?? 0))
@@ -107,11 +107,11 @@
   })
 }
 
-test('the audit finds doubled starts of a job that no caller knows', () => {
+test('the audit finds duplicate starts of a job without a caller record', () => {
   const report = audit([], [recordsOf('t1', [started(0, 't1')]), recordsOf('t2', [started(0, 't2')])])
   expect(report.counts.doubled).toEqual(1)
 })
 
-test('the audit does not judge from incomplete records', () => {
+test('the audit rejects incomplete records', () => {
   expect(() => audit([], [recordsOf('t1', [], 1)])).toThrow(IncompleteRecordsError)
 })
--- a/packages/standins/test/caller.test.ts
+++ b/packages/standins/test/caller.test.ts
@@ -63,14 +63,14 @@
 }
 
 const LOSSES: ReadonlyArray<{ name: string, script: Script }> = [
-  { name: 'the connection breaks', script: breakConnection },
+  { name: 'the connection is reset', script: breakConnection },
   { name: 'no answer comes in time', script: neverAnswer },
-  { name: 'the answer is no JSON', script: answerInvalidJson },
+  { name: 'the answer is not JSON', script: answerInvalidJson },
   { name: 'the answer has no kind', script: answerWithoutKind }
 ]
 
 for (const { name, script } of LOSSES) {
-  test(`a caller sends the same job through another entry when ${name}`, async context => {
+  test(`a caller submits the same job through another entry when ${name}`, async context => {
     const bad = await newEntry(context, script)
     const good = await newEntry(context, answerComplete)
     const caller = await newCaller(context, { entries: [bad.url, good.url], submissionTimeout: 100 })
@@ -82,7 +82,7 @@
   })
 }
 
-test('a caller does not send a job again through the same entry when its turn has come', async context => {
+test('a caller does not resubmit a job through the same entry even when that entry is next in rotation', async context => {
   const bad = await newEntry(context, breakConnection)
   const good = await newEntry(context, answerComplete)
   const caller = await newCaller(context, { entries: [bad.url, good.url] })
@@ -90,7 +90,7 @@
   expect(first?.attempts.map(attempt => attempt.entry)).toEqual([bad.url, good.url])
 })
 
-test('a caller leaves out an entry that refuses the connection', async context => {
+test('a caller skips an entry that refuses the connection', async context => {
   const gone = await newEntry(context, answerComplete)
   const good = await newEntry(context, answerComplete)
   const caller = await newCaller(context, { entries: [gone.url, good.url] })
@@ -102,7 +102,7 @@
   expect(caller.readyEntries()).toEqual([good.url])
 })
 
-test('a caller comes back after the time that a refusal states', async context => {
+test('a caller retries after the time that a refusal states', async context => {
   let refusals = 0
   const entry = await newEntry(context, (request, response, job) => {
     if (refusals++ > 0) return answerComplete(request, response, job)
@@ -117,7 +117,7 @@
   expect(record.final?.kind).toEqual(AnswerKind.Complete)
 })
 
-test('a caller reads the time to come back from the header when the body states none', async context => {
+test('a caller takes the retry time from the header when the body has none', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
     response.setHeader('retry-after', '1')
     sendJson(response, 503, { kind: AnswerKind.Refused, job: job.job })
@@ -127,7 +127,7 @@
   expect((await caller.submit(JOB)).final?.retryAfterMilliseconds).toEqual(1000)
 })
 
-test('a caller takes a refusal as final after its tries', async context => {
+test('a caller treats a refusal as final after its maximum number of refusals', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
     sendJson(response, 503, { kind: AnswerKind.Refused, job: job.job, retryAfterMilliseconds: 1 })
     return true
@@ -138,7 +138,7 @@
   expect(record.final?.kind).toEqual(AnswerKind.Refused)
 })
 
-test('a caller takes a refusal without a time to come back as final', async context => {
+test('a caller treats a refusal without a retry time as final', async context => {
   const entry = await newEntry(context, (_request, response, job) => {
     sendJson(response, 404, { kind: AnswerKind.Refused, job: job.job, cause: 'unknownService' })
     return true
@@ -147,7 +147,7 @@
   expect((await caller.submit(JOB)).attempts.length).toEqual(1)
 })
 
-test('a caller gives a job up that is never answered', async context => {
+test('a caller abandons a job that is never answered', async context => {
   const entry = await newEntry(context, breakConnection)
   const caller = await newCaller(context, { entries: [entry.url], giveUp: 300 })
   const record = await caller.submit(JOB)
@@ -155,7 +155,7 @@
   expect(audit([record], []).counts.lost).toEqual(1)
 })
 
-test('a load over an entry and a target is found clean', async context => {
+test('the audit of a load through one entry and one target is clean', async context => {
   const target = new TargetStandIn({ id: 't1', slots: 64 })
   const targetUrl = `http://127.0.0.1:${await target.listen()}`
   context.after(() => target.close())
@@ -167,10 +167,10 @@
   expect(report.counts).toEqual({ jobs: 30, complete: 30, failed: 0, refused: 0, mayHaveRun: 0, lost: 0, doubled: 0, refusedButRan: 0 })
 })
 
-test('an entry without a guard is found to double a job that is sent again', async context => {
-  // A caller sees no answer in time and sends its job again through another entry. Both entries run
-  // it, since neither asks whether the job was seen before. The caller's answer is sound, and only
-  // the target's records show the second start.
+test('the audit finds a duplicate start when entries do not detect resubmitted jobs', async context => {
+  // A caller gets no answer in time and submits its job again through another entry. Both entries
+  // run it, because neither checks for duplicates. The caller's answer is correct, and only the
+  // records of the target show the second start.
   const target = new TargetStandIn({ id: 't1' })
   const targetUrl = `http://127.0.0.1:${await target.listen()}`
   context.after(() => target.close())
--- a/packages/standins/test/fakeentry.ts
+++ b/packages/standins/test/fakeentry.ts
@@ -1,4 +1,4 @@
-/** A tiny entry for tests of the stand-ins: it runs a job's tasks at one target, with no guard at all. */
+/** A minimal entry for tests of the stand-ins. It runs the tasks of a job at one target and does not detect duplicates. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
@@ -6,14 +6,15 @@
 import type { JobSubmission, StandInResult } from '@amaranthmast/standins/records'
 import { AnswerKind } from '@amaranthmast/standins/records'
 
-/** What the entry does with a submission: answers it, or returns false to run it. */
+/** Handles a submission: answers it and returns true, or returns false to run it. */
 export type Script = (request: IncomingMessage, response: ServerResponse, job: JobSubmission) => boolean
 
+/** An entry whose answers a {@link Script} controls. */
 export class FakeEntry {
   readonly #target: string
   readonly #script: Script
   readonly #server: Server
-  /** Bodies of the submissions as they came. */
+  /** Bodies of the submissions as received. */
   readonly bodies: string[] = []
   url = ''
 
--- a/packages/standins/test/linkrelay.test.ts
+++ b/packages/standins/test/linkrelay.test.ts
@@ -9,7 +9,7 @@
 import { LinkRelay, LinkState } from '@amaranthmast/standins/linkrelay'
 import { waitFor } from '@amaranthmast/standins/wait'
 
-/** Both ends of one relayed connection, and what each has received so far. */
+/** Both ends of one relayed connection, and the data that each has received so far. */
 class TestLink {
   readonly relay: LinkRelay
   readonly server: Server
@@ -36,7 +36,7 @@
     this.accepted.on('data', bytes => { this.atServer += bytes.toString() })
   }
 
-  /** Sends one word each way over a second connection, which shows that time has passed for the relay. */
+  /** Sends one word each way and waits until both have arrived. */
   async exchange (): Promise<void> {
     this.client.write('ping')
     this.accepted.write('pong')
@@ -61,7 +61,7 @@
   return link
 }
 
-/** Time in which bytes would arrive many times over on an open link. */
+/** Waits far longer than bytes need on an open link. */
 function settle (): Promise<void> {
   return new Promise(resolve => { setTimeout(resolve, 60) })
 }
@@ -72,7 +72,7 @@
   return error.code ?? ''
 }
 
-test('an open link carries bytes both ways', async context => {
+test('an open link forwards bytes in both directions', async context => {
   const link = await newLink(context)
   await link.exchange()
   expect([link.atServer, link.atClient]).toEqual(['ping', 'pong'])
@@ -103,7 +103,7 @@
 ] as const
 
 for (const { state, atServer, atClient } of STALLS) {
-  test(`a link that is ${state} holds bytes and brings them when it is restored`, async context => {
+  test(`a link in state ${state} holds bytes back and forwards them when it is restored`, async context => {
     const link = await newLink(context)
     link.relay.stall(state)
     link.client.write('to server')
@@ -115,7 +115,7 @@
   })
 }
 
-test('a silent link hides a closing until it is restored', async context => {
+test('a stalled link holds back the end of a connection until it is restored', async context => {
   const link = await newLink(context)
   link.relay.stall()
   link.client.end('last words')
@@ -126,7 +126,7 @@
   expect(link.atServer).toEqual('last words')
 })
 
-test('a link silent one way hides a reset that way until it is restored', async context => {
+test('a link stalled in one direction holds back a reset in that direction until it is restored', async context => {
   const link = await newLink(context)
   let closed = false
   link.accepted.on('close', () => { closed = true })
@@ -141,7 +141,7 @@
   await waitFor('the reset', 5000, 5, () => closed)
 })
 
-test('a new connection over a silent link is accepted and stays silent', async context => {
+test('a stalled link accepts a new connection and holds its data back', async context => {
   const link = await newLink(context)
   link.relay.stall()
   const client = connect({ port: link.port, host: '127.0.0.1' })
--- a/packages/standins/test/load.test.ts
+++ b/packages/standins/test/load.test.ts
@@ -9,12 +9,12 @@
 
 const OPTIONS = { seed: 5, rate: 50, seconds: 20 }
 
-test('the same seed plans the same load and another seed another', () => {
+test('the same seed plans the same load and another seed a different one', () => {
   expect(planLoad(OPTIONS)).toEqual(planLoad(OPTIONS))
   expect(planLoad(OPTIONS)).not.toEqual(planLoad({ ...OPTIONS, seed: 6, prefix: 'load-5' }))
 })
 
-test('a load has its count of jobs, in order of time, each with its own id', () => {
+test('a load has the configured number of jobs, sorted by time, with unique ids', () => {
   const plan = planLoad(OPTIONS)
   const times = plan.map(({ at }) => at)
   expect(plan.length).toEqual(1000)
@@ -29,14 +29,14 @@
   expect(sizes.filter(size => size <= 8).length > 800).toEqual(true)
 })
 
-test('run times lie between 50 ms and 5 s and few are above a second', () => {
+test('run times lie between 50 ms and 5 s and few exceed a second', () => {
   const runs = planLoad(OPTIONS).flatMap(({ submission }) => submission.tasks.map(task => task.payload.runMilliseconds ?? 0))
   const long = runs.filter(run => run > 1000).length
   expect(Math.min(...runs) >= 50 && Math.max(...runs) <= 5000).toEqual(true)
   expect(long > 0 && long < runs.length * 0.02).toEqual(true)
 })
 
-test('bursts hold a part of the jobs', () => {
+test('bursts contain the configured fraction of the jobs', () => {
   const inFirstBurst = planLoad({ ...OPTIONS, burstEvery: 20, burstFraction: 0.5 }).filter(({ at }) => at >= 10_000 && at < 10_050)
   expect(inFirstBurst.length > 400 && inFirstBurst.length < 600).toEqual(true)
 })
@@ -61,7 +61,7 @@
 const IDEALS = [
   { name: 'one task', runs: [200], slots: 8, ideal: 200 },
   { name: 'the longest task', runs: [200, 50, 300], slots: 8, ideal: 300 },
-  { name: 'all tasks over the slots', runs: [100, 100, 100, 100], slots: 2, ideal: 200 }
+  { name: 'all tasks divided by the slots', runs: [100, 100, 100, 100], slots: 2, ideal: 200 }
 ]
 
 for (const { name, runs, slots, ideal } of IDEALS) {
@@ -70,7 +70,7 @@
   })
 }
 
-test('a summary holds response times over the ideal', () => {
+test('a summary contains response times relative to the ideal', () => {
   const summary = summarise([jobAnsweredIn(300, [200]), jobAnsweredIn(200, [200])], 8)
   expect([summary.jobs, summary.tasks, summary.answers]).toEqual([2, 2, { complete: 2 }])
   expect([summary.ratio.p50, summary.ratio.count]).toEqual([1, 2])
--- a/packages/standins/test/ports.test.ts
+++ b/packages/standins/test/ports.test.ts
@@ -1,12 +1,12 @@
-/** Ports for daemons of test files that run side by side. */
+/** Ports for daemons of test files that run in parallel. */
 import { expect } from 'earl'
 import { test } from 'node:test'
 
 import { PORT_BLOCK } from '../src/defaults.ts'
 import { PortPicker } from '../src/ports.ts'
 
-// A fleet fails to start: "cannot listen, EADDRINUSE". Two test files picked the same port while it
-// was free for both, and the daemon of the first had taken it when that of the second came to listen.
+// Guards against a fleet that fails to start with "cannot listen, EADDRINUSE": two test files pick the
+// same port while it is free, and the daemon of one listens on it before the daemon of the other.
 test('two pickers never hand out the same port', async () => {
   const pickers = [new PortPicker(), new PortPicker()]
   const ports: number[] = []
--- a/packages/standins/test/processes.test.ts
+++ b/packages/standins/test/processes.test.ts
@@ -34,7 +34,7 @@
 
 const readyLine = (line: string): boolean => line === 'ready'
 
-test('a group stops what it launched and leaves no process', async context => {
+test('a group stops the processes that it launched', async context => {
   const script = await scriptOf(context, READY)
   const group = new ProcessGroup()
   const first = await group.launch({ name: 'first', script, readyLine })
@@ -44,7 +44,7 @@
   expect([isAlive(first.pid), isAlive(second.pid)]).toEqual([false, false])
 })
 
-test('a group kills a process that ignores SIGTERM and says so', async context => {
+test('a group kills a process that ignores SIGTERM and reports it', async context => {
   const script = await scriptOf(context, `process.on('SIGTERM', () => {}); ${READY}`)
   const group = new ProcessGroup()
   const stubborn = await group.launch({ name: 'stubborn', script, readyLine })
@@ -62,7 +62,7 @@
   expect(isAlive(paused.pid)).toEqual(false)
 })
 
-test('a process that ends before it is ready fails the launch with its last lines', async context => {
+test('the launch of a process that ends before it is ready fails with the last lines of its output', async context => {
   const script = await scriptOf(context, 'console.error("port 1 is taken"); process.exit(3)')
   const group = new ProcessGroup()
   context.after(() => group.stop())
@@ -71,7 +71,7 @@
   expect((error as Error).message).toInclude('port 1 is taken')
 })
 
-test('a process that is never ready is killed and fails the launch', async context => {
+test('a process that is never ready is killed and its launch fails', async context => {
   const script = await scriptOf(context, 'setInterval(() => {}, 1000)')
   const group = new ProcessGroup()
   context.after(() => group.stop())
@@ -101,6 +101,6 @@
     const [line] = await once(createInterface({ input: parent.stdout }), 'line') as [string]
     if (signal !== undefined) parent.kill(signal)
     await ended
-    await waitFor('the child to be gone', 5000, 10, () => !isAlive(Number(line)))
+    await waitFor('the child to end', 5000, 10, () => !isAlive(Number(line)))
   })
 }
--- a/packages/standins/test/runintervals.test.ts
+++ b/packages/standins/test/runintervals.test.ts
@@ -10,15 +10,15 @@
   expect(findOverlaps([[interval('a', 0, 100), interval('b', 50, 150)], [interval('a', 100, 200)]])).toEqual([])
 })
 
-// Looks at intervals of 4 ms did not see shorter overlaps.
-test('an overlap of one millisecond is found, with its places', () => {
+// Sampling every 4 ms misses overlaps that are shorter than that.
+test('an overlap of one millisecond is found, with both workers', () => {
   const [overlap] = findOverlaps([[interval('a', 100, 200)], [], [interval('a', 0, 101, 2)]])
   expect(overlap?.first.place).toEqual(2)
   expect(overlap?.second.place).toEqual(0)
   expect(overlap?.lasted).toEqual(1)
 })
 
-test('a third run is compared with the one that goes on longest', () => {
+test('a third run is compared with the earlier run that ends last', () => {
   const overlaps = findOverlaps([[interval('a', 0, 300)], [interval('a', 50, 100)], [interval('a', 200, 400)]])
   expect(overlaps.map(({ first, second, lasted }) => [first.place, second.place, lasted])).toEqual([[0, 1, 50], [0, 2, 100]])
 })
