--- a/packages/cli/test/apply.test.ts
+++ b/packages/cli/test/apply.test.ts
@@ -1,6 +1,6 @@
 /** `apply`: a file is accepted once or refused as a whole, in spite of races, lost answers and outages of the store. */
 import { test } from 'node:test'
-import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
+import { LostAnswerMode, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { StoreTimedOut } from '@amaranthmast/store/errors'
 import { expect } from 'earl'
 import { errAsync, ResultAsync } from 'neverthrow'
@@ -68,7 +68,7 @@
 
 // The store applies the write and its answer is lost. If the tool reported a failure, the operator
 // would apply again; without a result the operator does not know which shares are in force.
-for (const loseAnswersBy of Object.values(LostAnswer)) {
+for (const loseAnswersBy of Object.values(LostAnswerMode)) {
   test(`the outcome of an apply is settled after one lost answer, ${loseAnswersBy}`, async (context) => {
     const { store, tool } = await startTool(context)
     await tool.apply(fileWith(0, 60))
--- a/packages/standins/src/caller.ts
+++ b/packages/standins/src/caller.ts
@@ -1,6 +1,7 @@
 /**
- * A caller as the platform has them: sends jobs through the balancer, and when it believes one lost
- * sends the same job again through another entry, unchanged. It keeps every answer it received.
+ * Stand-in for a caller of the platform. It submits jobs through the balancer. When a submission
+ * fails or gets no answer in time, it submits the same job unchanged through another entry. It keeps
+ * every answer that it received.
  */
 import { setTimeout as delay } from 'node:timers/promises'
 
@@ -8,26 +9,26 @@
 
 import { Balancer } from './balancer.ts'
 import {
-  CALLER_CONNECTIONS, GIVE_UP, LONGEST_RETRY_AFTER, REFUSAL_TRIES, RESUBMIT_PAUSE, SUBMISSION_TIMEOUT
+  CALLER_CONNECTIONS, JOB_TIMEOUT, MAX_RETRY_AFTER, MAX_REFUSALS, RESUBMIT_DELAY, SUBMISSION_TIMEOUT
 } from './defaults.ts'
 import type { AnswerBody, Attempt, JobRecord, JobSubmission } from './records.ts'
-import { AnswerWord } from './records.ts'
+import { AnswerKind } from './records.ts'
 
 /** Options of a {@link Caller}. Times are in milliseconds. */
 export interface CallerOptions {
   /** Base URLs of the entries, without a final slash. */
   entries: readonly string[]
-  /** Time after which a submission without an answer counts as lost. @default 10000 */
+  /** Time after which a submission without an answer fails. @default 10000 */
   submissionTimeout?: number
-  /** Time from the first submission after which a job is given up. @default 40000 */
+  /** Time from the first submission after which a job is abandoned. @default 40000 */
   giveUp?: number
-  /** Submissions of one job that may be answered by a refusal with a time to come back. @default 8 */
-  refusalTries?: number
+  /** Number of refusals of one job after which a refusal is final, even with a time to retry. @default 8 */
+  maxRefusals?: number
 }
 
-const ANSWER_WORDS: ReadonlySet<unknown> = new Set(Object.values(AnswerWord))
+const ANSWER_KINDS: ReadonlySet<unknown> = new Set(Object.values(AnswerKind))
 
-/** Sends jobs and records what came of each. */
+/** Submits jobs and records the submissions and the final answer of each. */
 export class Caller {
   readonly #options: Required<CallerOptions>
   readonly #dispatcher = new Agent({ connections: CALLER_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 })
@@ -37,8 +38,8 @@
   constructor (options: CallerOptions) {
     this.#options = {
       submissionTimeout: SUBMISSION_TIMEOUT,
-      giveUp: GIVE_UP,
-      refusalTries: REFUSAL_TRIES,
+      giveUp: JOB_TIMEOUT,
+      maxRefusals: MAX_REFUSALS,
       ...options
     }
     this.#balancer = new Balancer(options.entries, this.#dispatcher)
@@ -49,38 +50,38 @@
     return this.#balancer.start()
   }
 
-  /** Stops the balancer and breaks open connections. */
+  /** Stops the balancer and closes open connections. */
   async close (): Promise<void> {
     this.#balancer.stop()
     await this.#dispatcher.destroy()
   }
 
-  /** Entries that are ready now. */
+  /** Entries that are currently ready. */
   readyEntries (): string[] {
     return this.#balancer.ready()
   }
 
-  /** Every job so far, in order of submission. */
+  /** All jobs in order of submission. */
   records (): readonly JobRecord[] {
     return this.#records
   }
 
-  /** Submits a job until it has a final answer or is given up. Never rejects. */
+  /** Submits a job until it has a final answer or is abandoned. Never rejects. */
   async submit (submission: JobSubmission): Promise<JobRecord> {
     const record: JobRecord = { submission, submittedAt: Date.now(), attempts: [] }
     this.#records.push(record)
     const body = JSON.stringify(submission)
-    const giveUpAt = record.submittedAt + this.#options.giveUp
-    while (Date.now() < giveUpAt) {
-      const attempt = await this.#attempt(record, body, giveUpAt)
-      const pause = attempt === undefined ? RESUBMIT_PAUSE : this.#pauseAfter(record, attempt)
-      if (pause === undefined) break
-      await delay(pause)
+    const timeoutAt = record.submittedAt + this.#options.giveUp
+    while (Date.now() < timeoutAt) {
+      const attempt = await this.#attempt(record, body, timeoutAt)
+      const retryDelay = attempt === undefined ? RESUBMIT_DELAY : this.#retryDelay(record, attempt)
+      if (retryDelay === undefined) break
+      await delay(retryDelay)
     }
     return record
   }
 
-  /** One submission through the next ready entry; undefined when none is ready. */
+  /** Submits a job once, through the next ready entry. Resolves to undefined when none is ready. */
   async #attempt (record: JobRecord, body: string, giveUpAt: number): Promise<Attempt | undefined> {
     const entry = this.#balancer.next(record.attempts.at(-1)?.entry)
     if (entry === undefined) return undefined
@@ -90,7 +91,7 @@
     try {
       await this.#post(attempt, body, timeout)
     } catch (error) {
-      attempt.failure = failureOf(error)
+      attempt.failure = describeFailure(error)
       if (attempt.failure === 'ECONNREFUSED') this.#balancer.drop(entry)
     }
     attempt.endedAt = Date.now()
@@ -107,21 +108,21 @@
     })
     const answer = await response.body.json() as Partial<AnswerBody> | null
     attempt.status = response.statusCode
-    if (!ANSWER_WORDS.has(answer?.kind)) {
+    if (!ANSWER_KINDS.has(answer?.kind)) {
       attempt.failure = `status ${response.statusCode} with a body that is no answer`
       return
     }
     attempt.answer = withRetryAfter(answer as AnswerBody, response.headers['retry-after'])
   }
 
-  /** Time to wait before the job is sent again; undefined when the answer is final. */
-  #pauseAfter (record: JobRecord, attempt: Attempt): number | undefined {
+  /** Milliseconds to wait before the job is submitted again; undefined when the answer is final. */
+  #retryDelay (record: JobRecord, attempt: Attempt): number | undefined {
     const { answer } = attempt
-    if (answer === undefined) return RESUBMIT_PAUSE
-    const comeBack = answer.retryAfterMilliseconds ?? 0
-    const refusals = record.attempts.filter(earlier => earlier.answer?.kind === AnswerWord.Refused).length
-    if (answer.kind === AnswerWord.Refused && comeBack > 0 && refusals < this.#options.refusalTries) {
-      return Math.min(comeBack, LONGEST_RETRY_AFTER)
+    if (answer === undefined) return RESUBMIT_DELAY
+    const retryAfter = answer.retryAfterMilliseconds ?? 0
+    const refusals = record.attempts.filter(earlier => earlier.answer?.kind === AnswerKind.Refused).length
+    if (answer.kind === AnswerKind.Refused && retryAfter > 0 && refusals < this.#options.maxRefusals) {
+      return Math.min(retryAfter, MAX_RETRY_AFTER)
     }
     record.final = answer
     record.finishedAt = attempt.endedAt
@@ -129,13 +130,13 @@
   }
 }
 
-/** The answer's own figure goes first: the header counts in whole seconds. */
+/** Adds the time to retry from the header. The value in the body takes precedence, because the header has whole seconds only. */
 function withRetryAfter (answer: AnswerBody, header: string | string[] | undefined): AnswerBody {
   if (answer.retryAfterMilliseconds !== undefined || typeof header !== 'string') return answer
   return { ...answer, retryAfterMilliseconds: Number(header) * 1000 }
 }
 
-function failureOf (error: unknown): string {
+function describeFailure (error: unknown): string {
   const { code, name, message } = error as { code?: unknown, name?: string, message?: string }
   if (typeof code === 'string') return code
   return name ?? message ?? 'unknown failure'
--- a/packages/standins/test/fakeentry.ts
+++ b/packages/standins/test/fakeentry.ts
@@ -1,19 +1,20 @@
-/** A tiny entry for tests of the stand-ins: it runs a job's tasks at one target, with no guard at all. */
+/** A minimal entry for tests of the stand-ins. It runs the tasks of a job at one target and does not detect duplicates. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 
 import { closeServer, listen, sendJson } from '@amaranthmast/standins/httpserver'
 import type { JobSubmission, StandInResult } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 
-/** What the entry does with a submission: answers it, or returns false to run it. */
+/** Handles a submission: answers it and returns true, or returns false to run it. */
 export type Script = (request: IncomingMessage, response: ServerResponse, job: JobSubmission) => boolean
 
+/** An entry whose answers a {@link Script} controls. */
 export class FakeEntry {
   readonly #target: string
   readonly #script: Script
   readonly #server: Server
-  /** Bodies of the submissions as they came. */
+  /** Bodies of the submissions as received. */
   readonly bodies: string[] = []
   url = ''
 
@@ -41,7 +42,7 @@
     const job = JSON.parse(body) as JobSubmission
     if (this.#script(request, response, job)) return
     const results = await Promise.all(job.tasks.map((_task, index) => this.#runTask(job, index)))
-    sendJson(response, 200, { kind: AnswerWord.Complete, job: job.job, results })
+    sendJson(response, 200, { kind: AnswerKind.Complete, job: job.job, results })
   }
 
   async #runTask (job: JobSubmission, index: number): Promise<StandInResult> {
--- a/packages/standins/test/load.test.ts
+++ b/packages/standins/test/load.test.ts
@@ -5,16 +5,16 @@
 import { planLoad } from '@amaranthmast/standins/load'
 import { idealMilliseconds, summarise } from '@amaranthmast/standins/loadsummary'
 import type { JobRecord } from '@amaranthmast/standins/records'
-import { AnswerWord } from '@amaranthmast/standins/records'
+import { AnswerKind } from '@amaranthmast/standins/records'
 
 const OPTIONS = { seed: 5, rate: 50, seconds: 20 }
 
-test('the same seed plans the same load and another seed another', () => {
+test('the same seed plans the same load and another seed a different one', () => {
   expect(planLoad(OPTIONS)).toEqual(planLoad(OPTIONS))
   expect(planLoad(OPTIONS)).not.toEqual(planLoad({ ...OPTIONS, seed: 6, prefix: 'load-5' }))
 })
 
-test('a load has its count of jobs, in order of time, each with its own id', () => {
+test('a load has the configured number of jobs, sorted by time, with unique ids', () => {
   const plan = planLoad(OPTIONS)
   const times = plan.map(({ at }) => at)
   expect(plan.length).toEqual(1000)
@@ -29,19 +29,19 @@
   expect(sizes.filter(size => size <= 8).length > 800).toEqual(true)
 })
 
-test('run times lie between 50 ms and 5 s and few are above a second', () => {
+test('run times lie between 50 ms and 5 s and few exceed a second', () => {
   const runs = planLoad(OPTIONS).flatMap(({ submission }) => submission.tasks.map(task => task.payload.runMilliseconds ?? 0))
   const long = runs.filter(run => run > 1000).length
   expect(Math.min(...runs) >= 50 && Math.max(...runs) <= 5000).toEqual(true)
   expect(long > 0 && long < runs.length * 0.02).toEqual(true)
 })
 
-test('bursts hold a part of the jobs', () => {
-  const inFirstBurst = planLoad({ ...OPTIONS, burstEvery: 20, burstPart: 0.5 }).filter(({ at }) => at >= 10_000 && at < 10_050)
+test('bursts contain the configured fraction of the jobs', () => {
+  const inFirstBurst = planLoad({ ...OPTIONS, burstEvery: 20, burstFraction: 0.5 }).filter(({ at }) => at >= 10_000 && at < 10_050)
   expect(inFirstBurst.length > 400 && inFirstBurst.length < 600).toEqual(true)
 })
 
-function answeredIn (milliseconds: number, runs: number[]): JobRecord {
+function jobAnsweredIn (milliseconds: number, runs: number[]): JobRecord {
   return {
     submission: {
       job: 'j1',
@@ -53,7 +53,7 @@
     },
     submittedAt: 1000,
     attempts: [],
-    final: { kind: AnswerWord.Complete, job: 'j1', results: [] },
+    final: { kind: AnswerKind.Complete, job: 'j1', results: [] },
     finishedAt: 1000 + milliseconds
   }
 }
@@ -61,17 +61,17 @@
 const IDEALS = [
   { name: 'one task', runs: [200], slots: 8, ideal: 200 },
   { name: 'the longest task', runs: [200, 50, 300], slots: 8, ideal: 300 },
-  { name: 'all tasks over the slots', runs: [100, 100, 100, 100], slots: 2, ideal: 200 }
+  { name: 'all tasks divided by the slots', runs: [100, 100, 100, 100], slots: 2, ideal: 200 }
 ]
 
 for (const { name, runs, slots, ideal } of IDEALS) {
   test(`the ideal response time is that of ${name}`, () => {
-    expect(idealMilliseconds(answeredIn(0, runs), slots)).toEqual(ideal)
+    expect(idealMilliseconds(jobAnsweredIn(0, runs), slots)).toEqual(ideal)
   })
 }
 
-test('a summary holds response times over the ideal', () => {
-  const summary = summarise([answeredIn(300, [200]), answeredIn(200, [200])], 8)
+test('a summary contains response times relative to the ideal', () => {
+  const summary = summarise([jobAnsweredIn(300, [200]), jobAnsweredIn(200, [200])], 8)
   expect([summary.jobs, summary.tasks, summary.answers]).toEqual([2, 2, { complete: 2 }])
   expect([summary.ratio.p50, summary.ratio.count]).toEqual([1, 2])
   expect(Math.abs(summary.ratio.max - 1.5) < 0.01).toEqual(true)
