--- a/packages/trials/src/client.ts
+++ b/packages/trials/src/client.ts
@@ -1,6 +1,6 @@
 /**
- * A caller that a trial directs: it sends each submission through a named entry, and keeps every
- * answer for the audit.
+ * A caller for trials: each submission goes through an entry that the test chooses, and every answer is
+ * recorded for the audit.
  */
 import type { AnswerBody, Attempt, JobRecord, JobSubmission } from '@amaranthmast/standins/records'
 import { Agent, request } from 'undici'
@@ -8,30 +8,30 @@
 import { SUBMISSION_TIMEOUT } from './defaults.ts'
 import { TENANT } from './jobs.ts'
 
-/** Where a job stands, as a look-up tells it. */
-export interface LookUp {
+/** Response to a status request for a job. */
+export interface JobStatus {
   state: string
   answer?: AnswerBody
 }
 
-/** Sends submissions where it is told. */
+/** Sends submissions through given entries and records every attempt. */
 export class DirectedCaller {
   readonly #dispatcher = new Agent({ headersTimeout: 0, bodyTimeout: 0 })
   readonly #records: JobRecord[] = []
 
-  /** Every job so far. */
+  /** Every job added so far. */
   get records (): readonly JobRecord[] {
     return this.#records
   }
 
-  /** Takes a job up; nothing is sent yet. */
-  lodge (submission: JobSubmission): JobRecord {
+  /** Adds a job to the records without sending it. */
+  addJob (submission: JobSubmission): JobRecord {
     const record: JobRecord = { submission, submittedAt: Date.now(), attempts: [] }
     this.#records.push(record)
     return record
   }
 
-  /** Sends the job through an entry. The latest answer counts as final. Never rejects. */
+  /** Submits the job through an entry. The latest answer is the final one. Never rejects: errors are recorded in the attempt. */
   async send (record: JobRecord, entry: string, signal = AbortSignal.timeout(SUBMISSION_TIMEOUT)): Promise<Attempt> {
     const attempt: Attempt = { entry, submittedAt: Date.now(), endedAt: 0 }
     record.attempts.push(attempt)
@@ -56,20 +56,20 @@
     return await response.body.json() as AnswerBody
   }
 
-  /** Asks an entry where a job stands. */
-  async lookUp (record: JobRecord, entry: string): Promise<LookUp> {
+  /** Requests the status of a job from an entry. */
+  async lookUp (record: JobRecord, entry: string): Promise<JobStatus> {
     const url = `${entry}/v1/jobs/${TENANT}/${record.submission.job}`
     const response = await request(url, { dispatcher: this.#dispatcher })
-    return await response.body.json() as LookUp
+    return await response.body.json() as JobStatus
   }
 
-  /** Breaks every open connection. */
+  /** Closes all open connections at once; submissions in progress fail. */
   close (): Promise<void> {
     return this.#dispatcher.destroy()
   }
 }
 
-/** Kind of the answer to an attempt, or that there was none. */
-export function kindOf (attempt: Attempt | undefined): string {
+/** The kind of the answer to an attempt, or `no answer`. */
+export function answerKind (attempt: Attempt | undefined): string {
   return attempt?.answer?.kind ?? 'no answer'
 }
--- a/packages/trials/src/jobs.ts
+++ b/packages/trials/src/jobs.ts
@@ -1,27 +1,27 @@
-/** Jobs as the trials lodge them. */
+/** Builds the jobs that trials submit directly. */
 import type { JobSubmission } from '@amaranthmast/standins/records'
 
 import { DEADLINE } from './defaults.ts'
 
-/** Tenant of every directed job. */
+/** Tenant of every job that a trial submits directly. */
 export const TENANT = 'vaalrand'
 
-/** Service of every directed job. */
+/** Service of every job that a trial submits directly. */
 export const SERVICE = 'certificate'
 
-/** What a job is to be like; the rest is filled in. */
+/** The properties of a job that differ between trials. */
 export interface JobOptions {
-  /** @default 1 */
+  /** Number of tasks. @default 1 */
   tasks?: number
   /** Run time of each task, in milliseconds. */
   run: number
-  /** @default false */
+  /** Whether a resubmission may run the job again once the fleet has no record of it any more. @default false */
   repeatable?: boolean
-  /** @default 15000 */
+  /** Time until the job must be answered, in milliseconds. @default 15000 */
   deadline?: number
 }
 
-/** A job that dates itself, so that every submission of it is the same. */
+/** Builds a job with `lodgedAt` already set, so that all its submissions are identical. */
 export function newJob (job: string, { tasks = 1, run, repeatable = false, deadline = DEADLINE }: JobOptions): JobSubmission {
   return {
     job,
--- a/packages/trials/src/recovery.ts
+++ b/packages/trials/src/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how long the job ids of an entry that is lost go without service: from the moment of its
- * loss to the answer of the first job of its ids, submitted through another entry in that moment.
+ * Measures how long the job ids of a lost entry are not served: from the loss to the answer of the first
+ * job with one of these ids, submitted through another entry at the moment of the loss.
  */
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import { isClean } from '@amaranthmast/standins/audit'
@@ -8,21 +8,21 @@
 import { Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { setTimeout as delay } from 'node:timers/promises'
 
-import { kindOf } from './client.ts'
+import { answerKind } from './client.ts'
 import { newJob } from './jobs.ts'
 import { Trial } from './trial.ts'
 
 /** How an entry is lost. */
 export enum Loss {
-  /** Killed; its address refuses connections. */
+  /** Killed: its address refuses connections. */
   Killed = 'killed',
   /** Killed while the store is down. */
   KilledInOutage = 'killedInOutage',
-  /** Paused: its address is silent. */
+  /** Paused: its address accepts connections and does not respond. */
   Paused = 'paused'
 }
 
-/** Times of one kind of job, in milliseconds. */
+/** Recovery times for one type of job, in milliseconds. */
 export interface RecoveryTimes {
   runs: number
   p50: number
@@ -30,49 +30,49 @@
   all: number[]
 }
 
-/** What was measured of one kind of loss. */
+/** Measurements for one type of loss. */
 export interface Recovery {
   loss: Loss
-  /** Job ids that nobody had submitted before. */
+  /** Jobs that were not submitted before the loss. */
   newJobs: RecoveryTimes
-  /** A job whose task ran when its entry was lost, submitted again; its run time is part of the time. */
+  /** Resubmitted jobs whose task was running when the entry was lost. The times include the task's run time. */
   runningJobs: RecoveryTimes
-  /** Answers other than complete. */
+  /** Number of answers other than complete, by kind. */
   otherAnswers: Record<string, number>
-  /** Whether the targets' records bear every answer out. */
+  /** Whether the targets' records confirm every answer. */
   clean: boolean
 }
 
-/** Options of a measurement. */
+/** Options of {@link measureRecovery}. */
 export interface RecoveryOptions {
-  /** Losses of each kind. @default 10 */
+  /** Number of losses of each type. @default 10 */
   runs?: number
-  /** @default every kind */
+  /** Types of loss to measure. @default all types */
   losses?: readonly Loss[]
 }
 
-/** Run time of the task that runs when its entry is lost, in milliseconds. */
-export const RUNNING_TASK = 400
+/** Run time of the task that is running when its entry is lost, in milliseconds. */
+export const RUNNING_TASK_RUN_TIME = 400
 
 /**
- * Time for which the system runs undisturbed before a loss, in milliseconds. During an outage of the store
- * an entry counts as a witness only of peers that it has heard for some time.
+ * Time without faults before each loss, in milliseconds. During a store outage, a peer whose address refuses
+ * connections counts as ended only if the entry had been in contact with it for some time until then.
  */
-const UNDISTURBED = 2 * DEFAULT_TIMINGS.suspect
+const SETTLE_TIME = 2 * DEFAULT_TIMINGS.suspect
 
-const NEW_TASK = 10
-const RUNS = 10
+const NEW_TASK_RUN_TIME = 10
+const DEFAULT_RUNS = 10
 
 type LossHandler = (trial: Trial, entry: Daemon) => Promise<void>
 
-const LOSE: Record<Loss, LossHandler> = {
+const LOSS_HANDLERS: Record<Loss, LossHandler> = {
   [Loss.Killed]: (trial, entry) => trial.fleet.killDaemon(entry),
   [Loss.KilledInOutage]: (trial, entry) => trial.fleet.killDaemon(entry),
   [Loss.Paused]: async (_trial, entry) => { entry.process?.pause() }
 }
 
-/** Measures each kind of loss on a system of its own. */
-export async function measureRecovery ({ runs = RUNS, losses = Object.values(Loss) }: RecoveryOptions = {}): Promise<Recovery[]> {
+/** Measures each type of loss on a fleet of its own. */
+export async function measureRecovery ({ runs = DEFAULT_RUNS, losses = Object.values(Loss) }: RecoveryOptions = {}): Promise<Recovery[]> {
   const measured: Recovery[] = []
   for (const loss of losses) measured.push(await measureLoss(loss, runs))
   return measured
@@ -90,45 +90,45 @@
       runningTimes.push(times.running.milliseconds)
       for (const { kind } of [times.fresh, times.running]) if (kind !== 'complete') otherAnswers[kind] = (otherAnswers[kind] ?? 0) + 1
     }
-    const clean = isClean(await trial.judge())
-    return { loss, newJobs: timesOf(newTimes), runningJobs: timesOf(runningTimes), otherAnswers, clean }
+    const clean = isClean(await trial.audit())
+    return { loss, newJobs: summarizeTimes(newTimes), runningJobs: summarizeTimes(runningTimes), otherAnswers, clean }
   } finally {
     await trial.end()
   }
 }
 
-/** One loss; the entry is started again afterwards. */
+/** Measures one loss, then restarts the entry and waits until the fleet is whole again. */
 async function measureOnce (trial: Trial, loss: Loss, run: number): Promise<Record<'fresh' | 'running', { milliseconds: number, kind: string }>> {
   const entry = trial.entry(1 + run % 3)
-  const other = trial.entry(1 + (run + 1) % 3)
-  await delay(UNDISTURBED)
+  const otherEntry = trial.entry(1 + (run + 1) % 3)
+  await delay(SETTLE_TIME)
   const [freshId = '', runningId = ''] = await trial.idsOwnedBy(entry, 2, `${loss}-${run}`)
-  const running = trial.caller.lodge(newJob(runningId, { run: RUNNING_TASK }))
-  const first = trial.caller.send(running, entry.callersUrl)
-  await trial.untilStarted(runningId)
-  if (loss === Loss.KilledInOutage) await trial.storeFaults({ outage: Outage.Refuse })
+  const running = trial.caller.addJob(newJob(runningId, { run: RUNNING_TASK_RUN_TIME }))
+  const interruptedSubmission = trial.caller.send(running, entry.callersUrl)
+  await trial.waitUntilStarted(runningId)
+  if (loss === Loss.KilledInOutage) await trial.setStoreFaults({ outage: Outage.Refuse })
 
   const lostAt = performance.now()
-  await LOSE[loss](trial, entry)
-  const fresh = trial.caller.lodge(newJob(freshId, { run: NEW_TASK }))
+  await LOSS_HANDLERS[loss](trial, entry)
+  const fresh = trial.caller.addJob(newJob(freshId, { run: NEW_TASK_RUN_TIME }))
   const answers = await Promise.all([fresh, running].map(async job => {
-    const attempt = await trial.caller.send(job, other.callersUrl)
-    return { milliseconds: Math.round(performance.now() - lostAt), kind: kindOf(attempt) }
+    const attempt = await trial.caller.send(job, otherEntry.callersUrl)
+    return { milliseconds: Math.round(performance.now() - lostAt), kind: answerKind(attempt) }
   }))
 
-  await trial.storeFaults({ outage: Outage.None })
+  await trial.setStoreFaults({ outage: Outage.None })
   await trial.fleet.killDaemon(entry)
-  await first
+  await interruptedSubmission
   await trial.fleet.startDaemon(entry)
-  await trial.untilReady()
-  await Promise.all(trial.fleet.entries.map(each => trial.untilMembers(each, trial.fleet.entries)))
-  await trial.untilConnected()
-  const [ofFresh, ofRunning] = answers
-  if (ofFresh === undefined || ofRunning === undefined) throw new RangeError('a submission is missing')
-  return { fresh: ofFresh, running: ofRunning }
+  await trial.waitUntilReady()
+  await Promise.all(trial.fleet.entries.map(each => trial.waitUntilMembers(each, trial.fleet.entries)))
+  await trial.waitUntilConnected()
+  const [freshAnswer, runningAnswer] = answers
+  if (freshAnswer === undefined || runningAnswer === undefined) throw new RangeError('the answer to a submission is missing')
+  return { fresh: freshAnswer, running: runningAnswer }
 }
 
-function timesOf (times: readonly number[]): RecoveryTimes {
+function summarizeTimes (times: readonly number[]): RecoveryTimes {
   const sorted = [...times].sort((left, right) => left - right)
   return {
     runs: sorted.length,
--- a/packages/trials/src/soak.ts
+++ b/packages/trials/src/soak.ts
@@ -1,223 +1,239 @@
-/** One seed of the soak: random faults in series and overlapping, then quiet, and the promises all the while. */
+/**
+ * Soak test of one seed: random faults, in series and overlapping, followed by a phase without faults. What the
+ * dispatcher guarantees to callers is checked in both.
+ */
 import type { PlacedRun } from '@amaranthmast/standins/runintervals'
-import type { Told } from './soakcallers.ts'
+import type { JobResult } from './soakcallers.ts'
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { setTimeout as pause } from 'node:timers/promises'
 import { overlapsOf } from '@amaranthmast/standins/runintervals'
 import { SeededRandom } from '@amaranthmast/standins/random'
-import { Fate, SoakCallers } from './soakcallers.ts'
-import { CONFIGURATION_FAULTS, FAULTS, OPERATOR_FAULTS, REFUSAL_FAULTS } from './soakfaults.ts'
+import { Outcome, SoakCallers } from './soakcallers.ts'
+import { BASE_FAULTS, CONFIGURATION_FAULTS, OPERATOR_FAULTS, REFUSAL_FAULTS } from './soakfaults.ts'
 import { SoakFleet } from './soakfleet.ts'
 
+/** Options of {@link soak}. */
 export interface SoakOptions {
   seed: number
+  /** Path of the built program. */
   program: string
-  /** How long faults strike, in milliseconds. */
+  /** How long faults are injected, in milliseconds. */
   faults: number
   /** Mean time between two faults, in milliseconds. @default 450 */
   every?: number
-  /** Kinds of faults; all when absent. */
+  /** Kinds of faults to inject. @default all that the other options enable */
   kinds?: readonly string[]
+  /** @default 3 */
   entries?: number
+  /** @default 4 */
   agents?: number
   /**
-   * The tasks of every eighth job outlast the pause of a caller that comes back, so that what a lost entry left running is still there.
+   * The tasks of every eighth job run longer than a caller waits before it resubmits, so that tasks of a lost entry are
+   * still running when the job is placed again.
    * @default false
    */
   long?: boolean
-  /** Evacuations, and workers that start again under their id, among the faults. @default false */
+  /** Adds evacuations, and workers that restart under the same id, to the faults. @default false */
   operators?: boolean
-  /** Large and frequent configurations, and stores that single entries don't hear, among the faults. @default false */
+  /** Adds large and frequent configurations, and lost connections between single entries and the store, to the faults. @default false */
   configurations?: boolean
-  /** Workers that refuse connections while they live, answer slowly or ignore stops, and processes that are late, among the faults. @default false */
+  /** Adds workers that refuse connections while they run, answer slowly or ignore stops, and stalled processes, to the faults. @default false */
   refusals?: boolean
-  /** Callers that leave early and come back at another entry. @default as `refusals` */
+  /** Half of the submissions are cut off early by their caller, which resubmits through another entry. @default the value of `refusals` */
   leaves?: boolean
-  /** Processes beside the fleet that only compute. @default 0 */
+  /** Number of additional processes that only use CPU time. @default 0 */
   busy?: number
 }
 
+/** Result of {@link soak}, written to the report of a failed seed. */
 export interface SoakResult {
   seed: number
-  /** Broken promises, each with what was seen. */
+  /** Violated guarantees, each with what was observed. */
   findings: string[]
+  /** Number of jobs by outcome, without those submitted after the faults. */
   jobs: Record<string, number>
-  /** Faults in order, with their times, for the trace of a seed that failed. */
+  /** The injected faults in order: milliseconds since the start, and kind. */
   struck: string[]
+  /** Log lines by process. */
   logs: Record<string, readonly string[]>
-  /** How late this process was at most, and with it the workers and callers in it, in milliseconds. */
+  /** Maximum event loop delay of this process, and with it of the workers and callers in it, in milliseconds. */
   late: number
 }
 
-/** Mean time between two faults, in milliseconds. */
-const FAULT_INTERVAL = 450
+/** Default mean time between two faults, in milliseconds. */
+const DEFAULT_FAULT_INTERVAL = 450
 
-/** How long tasks run and how often jobs come. */
-interface Sizes {
+/** Run times of tasks and arrival rate of jobs. */
+interface Workload {
   /** Mean time between two jobs, in milliseconds. */
   interval: number
-  /** One of so many jobs has long tasks. */
-  longEvery: number
-  /** How much longer they are, in milliseconds: a caller comes back after 1,300. */
-  longExtra: number
+  /** Every so many jobs, one has long tasks. */
+  longJobEvery: number
+  /** Additional run time of long tasks, in milliseconds. A caller resubmits after 1,300. */
+  longTaskExtra: number
 }
 
 /**
- * 2.5 tasks of 0.47 s on two cores each 110 ms are 21 of the 32 cores. At 60 ms the fleet was overloaded all the while,
- * and refused in the quiet part what it had no room for.
+ * A job every 110 ms with 2.5 tasks of 0.47 s on two cores uses 21 of the 32 cores. An interval of 60 ms overloads the
+ * fleet permanently, so that it refuses jobs for lack of capacity in the phase without faults.
  */
-const SIZES: Sizes = { interval: 110, longEvery: Infinity, longExtra: 0 }
+const DEFAULT_WORKLOAD: Workload = { interval: 110, longJobEvery: Infinity, longTaskExtra: 0 }
 
-/** The mean run time is then 0.67 s. */
-const LONG_SIZES: Sizes = { interval: 160, longEvery: 8, longExtra: 1400 }
+/** The mean run time of tasks is 0.67 s. */
+const LONG_TASK_WORKLOAD: Workload = { interval: 160, longJobEvery: 8, longTaskExtra: 1400 }
 
-/** Where processes are late: whenever its caller leaves, a long task has more to do than the pause. */
-const LATE_LONG_SIZES: Sizes = { interval: 350, longEvery: 2, longExtra: 1900 }
+/** For runs with stalled processes: whenever its caller disconnects, a long task has more run time left than the caller waits. */
+const LATE_LONG_TASK_WORKLOAD: Workload = { interval: 350, longJobEvery: 2, longTaskExtra: 1900 }
 
-/** The intervals hold for a fleet of so many agents; a larger one gets more jobs. */
-const AGENTS = 4
+/** Default number of agents. The intervals of the workloads are for this number, and scale with it. */
+const DEFAULT_AGENTS = 4
 
-/** Jobs stay this far apart, in milliseconds: the callers share a process with the workers. */
-const SHORTEST_JOB_INTERVAL = 12
+/** Minimum mean time between two jobs, in milliseconds, because the callers share a process with the workers. */
+const MIN_JOB_INTERVAL = 12
 
-/** Resolution with which the lateness of this process is measured, in milliseconds. */
-const LOOP_RESOLUTION = 5
+/** Resolution of the event loop delay measurement, in milliseconds. */
+const LOOP_DELAY_RESOLUTION = 5
 const NANOSECONDS_PER_MILLISECOND = 1e6
 
-/** Time for the fleet to start, and after the faults to be whole again, in milliseconds. */
-const START = 1500
-const RECOVERY = 3000
-const QUIET = 1500
+/** Time for the fleet to start, to recover after the faults, and to serve jobs without faults, in milliseconds. */
+const STARTUP_TIME = 1500
+const RECOVERY_TIME = 3000
+const FAULT_FREE_TIME = 1500
 
-/** Number of the first job after the faults. */
-const QUIET_JOBS = 0x100000
+/** The job numbers after the faults follow this one. */
+const FAULT_FREE_JOBS_BASE = 0x100000
 
-/** Number of the first job after an evacuation was taken back. */
-const RETURN_JOBS = 0x200000
+/** The job numbers after the evacuation is cancelled follow this one. */
+const POST_EVACUATION_JOBS_BASE = 0x200000
 
-/** How often an entry is asked for the newest queue, in milliseconds. */
-const ASK_INTERVAL = 50
+/** Interval at which an entry is asked for the newest queue, in milliseconds. */
+const QUEUE_CHECK_INTERVAL = 50
 
-/** A configuration is in force within this time, as the settings of the fleet say, in milliseconds. */
-const CONFIGURATION_BOUND = 2000
+/** Time within which a configuration must be in force, in milliseconds; the same as in the fleet's settings. */
+const CONFIGURATION_TIME_LIMIT = 2000
 
-/** With half of the targets evacuated jobs come this much more seldom. */
+/** Factor on the mean time between two jobs while half of the targets are evacuated. */
 const EVACUATED_INTERVAL_FACTOR = 2.5
-const EVACUATED_AT_END = 'two'
+
+/** Data centre that is evacuated in the phase without faults. */
+const EVACUATED_DATA_CENTRE = 'two'
 
 const ALL_FAULTS = { ...CONFIGURATION_FAULTS, ...REFUSAL_FAULTS }
 
-/** Part of the jobs that must be completed once all faults are over. */
-const SERVED_PART = 0.95
+/** Fraction of the jobs after the faults that must be completed. */
+const MIN_SERVED_FRACTION = 0.95
 
+/** Runs the soak test of one seed. */
 export async function soak (options: SoakOptions): Promise<SoakResult> {
-  const { seed, program, entries = 3, agents = AGENTS, long = false, operators = false, configurations = false, refusals = false, leaves = refusals, busy = 0 } = options
-  const sizes = long ? (refusals ? LATE_LONG_SIZES : LONG_SIZES) : SIZES
-  const interval = Math.max(SHORTEST_JOB_INTERVAL, sizes.interval * AGENTS / agents)
+  const { seed, program, entries = 3, agents = DEFAULT_AGENTS, long = false, operators = false, configurations = false, refusals = false, leaves = refusals, busy = 0 } = options
+  const workload = long ? (refusals ? LATE_LONG_TASK_WORKLOAD : LONG_TASK_WORKLOAD) : DEFAULT_WORKLOAD
+  const interval = Math.max(MIN_JOB_INTERVAL, workload.interval * DEFAULT_AGENTS / agents)
   const random = new SeededRandom(seed)
   const fleet = new SoakFleet(program, { operators: operators || configurations, relaysEntries: configurations })
   const findings: string[] = []
-  const struck: string[] = []
-  await fleet.start(entries, agents, task => durationOf(numberOf(task), sizes))
+  const injectedFaults: string[] = []
+  await fleet.start(entries, agents, task => taskDuration(jobNumberOf(task), workload))
   fleet.load(busy)
-  await pause(START)
-  const began = performance.now()
-  const loop = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION })
-  loop.enable()
-  let asked = 0
-  const asking = setInterval(() => {
-    asked += 1
-    if (configurations) denied(fleet, asked).then(found => findings.push(...found))
-  }, ASK_INTERVAL)
+  await pause(STARTUP_TIME)
+  const startedAt = performance.now()
+  const loopDelay = monitorEventLoopDelay({ resolution: LOOP_DELAY_RESOLUTION })
+  loopDelay.enable()
+  let checkCount = 0
+  const queueCheck = setInterval(() => {
+    checkCount += 1
+    if (configurations) checkNewestQueue(fleet, checkCount).then(found => findings.push(...found))
+  }, QUEUE_CHECK_INTERVAL)
   const callers = new SoakCallers(fleet, random, 0, { leaves })
-  const calling = callers.run(options.faults, interval)
-  await strikeFor(options, fleet, random, struck)
-  await calling
+  const submissions = callers.run(options.faults, interval)
+  await injectFaults(options, fleet, random, injectedFaults)
+  await submissions
   await callers.settled()
-  fleet.evacuate(EVACUATED_AT_END, operators || configurations)
-  await pause(RECOVERY)
-  findings.push(...await (operators || configurations ? evacuated(fleet, random, interval) : afterwards(fleet, random, interval)))
-  clearInterval(asking)
-  loop.disable()
-  findings.push(...doubled(fleet, began), ...judge(fleet, callers.told), ...ended(fleet))
+  fleet.evacuate(EVACUATED_DATA_CENTRE, operators || configurations)
+  await pause(RECOVERY_TIME)
+  findings.push(...await (operators || configurations ? checkEvacuation(fleet, random, interval) : checkAfterFaults(fleet, random, interval)))
+  clearInterval(queueCheck)
+  loopDelay.disable()
+  findings.push(...findOverlappingRuns(fleet, startedAt), ...checkAnswers(fleet, callers.told), ...findUnexpectedExits(fleet))
   const logs = Object.fromEntries([...fleet.entries, ...fleet.agents].map(({ name, process }) => [name, process?.log ?? []]))
   await fleet.close()
-  return { seed, findings: [...new Set(findings)], jobs: count(callers.told), struck, logs, late: Math.round(loop.max / NANOSECONDS_PER_MILLISECOND) - LOOP_RESOLUTION }
+  return { seed, findings: [...new Set(findings)], jobs: countOutcomes(callers.told), struck: injectedFaults, logs, late: Math.round(loopDelay.max / NANOSECONDS_PER_MILLISECOND) - LOOP_DELAY_RESOLUTION }
 }
 
-/** Number of the job of a task: the last digits of its id. */
-function numberOf (task: string): number {
+/** Returns the job number of a task: the last six digits of its job's id. */
+function jobNumberOf (task: string): number {
   return Number.parseInt(task.slice(10, 16), 16)
 }
 
-/** Run time of a job's tasks, in milliseconds. */
-function durationOf (job: number, { longEvery, longExtra }: Sizes): number {
-  const short = 20 + (job * 97) % 900
-  return job % longEvery === 0 ? short + longExtra : short
+/** Computes the run time of a job's tasks, in milliseconds: 20 to 919, plus the extra of long tasks. */
+function taskDuration (job: number, { longJobEvery, longTaskExtra }: Workload): number {
+  const shortDuration = 20 + (job * 97) % 900
+  return job % longJobEvery === 0 ? shortDuration + longTaskExtra : shortDuration
 }
 
-function kindsOf ({ operators = false, configurations = false, refusals = false }: Pick<SoakOptions, 'operators' | 'configurations' | 'refusals'>): string[] {
+function faultKinds ({ operators = false, configurations = false, refusals = false }: Pick<SoakOptions, 'operators' | 'configurations' | 'refusals'>): string[] {
   if (refusals) return Object.keys(REFUSAL_FAULTS)
-  return Object.keys(configurations ? CONFIGURATION_FAULTS : operators ? OPERATOR_FAULTS : FAULTS)
+  return Object.keys(configurations ? CONFIGURATION_FAULTS : operators ? OPERATOR_FAULTS : BASE_FAULTS)
 }
 
 /**
- * Asks an entry for the queue of the newest configuration that has to be in force: whatever fails, it must not say that there is none.
+ * Asks an entry for the queue that was added by the newest configuration that must be in force. Despite any fault, the
+ * entry must not answer that the queue does not exist.
  *
- * @param turn of the entries
+ * @param turn selects the entry, in rotation
  */
-async function denied (fleet: SoakFleet, turn: number): Promise<string[]> {
-  const version = fleet.configuredAt.findLastIndex(at => performance.now() - at > CONFIGURATION_BOUND)
+async function checkNewestQueue (fleet: SoakFleet, turn: number): Promise<string[]> {
+  const version = fleet.configuredAt.findLastIndex(at => performance.now() - at > CONFIGURATION_TIME_LIMIT)
   const entry = fleet.entries[turn % fleet.entries.length]
   if (version < 1 || entry === undefined) return []
-  const status = await fetch(fleet.urlOf(entry, '', `/v${version}/`), { signal: AbortSignal.timeout(CONFIGURATION_BOUND) }).then(response => response.status, () => 0)
+  const status = await fetch(fleet.urlOf(entry, '', `/v${version}/`), { signal: AbortSignal.timeout(CONFIGURATION_TIME_LIMIT) }).then(response => response.status, () => 0)
   return status === 404 ? [`${entry.name} says that the queue of version ${version} does not exist`] : []
 }
 
-async function strikeFor ({ faults, every = FAULT_INTERVAL, kinds, ...options }: SoakOptions, fleet: SoakFleet, random: SeededRandom, struck: string[]): Promise<void> {
-  const began = performance.now()
+/** Starts random faults until the time is over, records each in `injectedFaults`, and waits until all are undone. */
+async function injectFaults ({ faults, every = DEFAULT_FAULT_INTERVAL, kinds, ...options }: SoakOptions, fleet: SoakFleet, random: SeededRandom, injectedFaults: string[]): Promise<void> {
+  const startedAt = performance.now()
   const running: Array<Promise<void>> = []
-  while (performance.now() - began < faults) {
-    const kind = random.pick(kinds ?? kindsOf(options))
-    struck.push(`${Math.round(performance.now() - began)} ${kind}`)
+  while (performance.now() - startedAt < faults) {
+    const kind = random.pick(kinds ?? faultKinds(options))
+    injectedFaults.push(`${Math.round(performance.now() - startedAt)} ${kind}`)
     running.push(ALL_FAULTS[kind]?.(fleet, random) ?? Promise.resolve())
     await pause(random.next() * 2 * every)
   }
   await Promise.all(running)
 }
 
-/** Tasks that ran at two workers at once, with how long and, from the first fault on, when. */
-function doubled (fleet: SoakFleet, began: number): string[] {
-  const name = ({ place, run, how, from, to }: PlacedRun): string => `worker ${place} (run ${run}, ${Math.round(from - began)} to ${Math.round(to - began)}, ${how})`
-  return overlapsOf(fleet.workers.map(({ intervals }) => intervals)).map(({ first, second, lasted }) => `${first.task} ran for ${lasted} ms at ${name(first)} and ${name(second)}`)
+/** Finds tasks that ran at two workers at the same time. Reports how long, and when, in milliseconds since `startedAt`. */
+function findOverlappingRuns (fleet: SoakFleet, startedAt: number): string[] {
+  const describe = ({ place, run, how, from, to }: PlacedRun): string => `worker ${place} (run ${run}, ${Math.round(from - startedAt)} to ${Math.round(to - startedAt)}, ${how})`
+  return overlapsOf(fleet.workers.map(({ intervals }) => intervals)).map(({ first, second, lasted }) => `${first.task} ran for ${lasted} ms at ${describe(first)} and ${describe(second)}`)
 }
 
-/** Nothing starts in a data centre that was evacuated after the faults, and something does once that is taken back. */
-async function evacuated (fleet: SoakFleet, random: SeededRandom, interval: number): Promise<string[]> {
-  const before = fleet.startsIn(EVACUATED_AT_END)
-  const findings = await afterwards(fleet, random, interval * EVACUATED_INTERVAL_FACTOR)
-  const started = fleet.startsIn(EVACUATED_AT_END) - before
+/** Checks that no task starts in an evacuated data centre, and that tasks start there again once the evacuation is cancelled. */
+async function checkEvacuation (fleet: SoakFleet, random: SeededRandom, interval: number): Promise<string[]> {
+  const before = fleet.countStartsIn(EVACUATED_DATA_CENTRE)
+  const findings = await checkAfterFaults(fleet, random, interval * EVACUATED_INTERVAL_FACTOR)
+  const started = fleet.countStartsIn(EVACUATED_DATA_CENTRE) - before
   if (started > 0) findings.push(`${started} tasks started in an evacuated data centre`)
-  fleet.evacuate(EVACUATED_AT_END, false)
-  const callers = new SoakCallers(fleet, random, RETURN_JOBS, { persistent: true })
-  await callers.run(RECOVERY, interval)
+  fleet.evacuate(EVACUATED_DATA_CENTRE, false)
+  const callers = new SoakCallers(fleet, random, POST_EVACUATION_JOBS_BASE, { resubmitsRefused: true })
+  await callers.run(RECOVERY_TIME, interval)
   await callers.settled()
-  if (fleet.startsIn(EVACUATED_AT_END) === before) findings.push('nothing starts in the data centre whose evacuation was taken back')
+  if (fleet.countStartsIn(EVACUATED_DATA_CENTRE) === before) findings.push('nothing starts in the data centre whose evacuation was taken back')
   return findings
 }
 
 /**
- * With every fault over, jobs are served through each entry, and each has the newest configuration. Callers come back when
- * they are told to: jobs come at random, and for a moment there can be more of them than four targets have room for.
+ * Checks that jobs are served once all faults are over, and that every entry applies a new configuration. Callers
+ * resubmit refused jobs: jobs arrive at random, and can briefly exceed the capacity of four targets.
  */
-async function afterwards (fleet: SoakFleet, random: SeededRandom, interval: number): Promise<string[]> {
-  const quiet = new SoakCallers(fleet, random, QUIET_JOBS, { persistent: true })
-  await quiet.run(QUIET, interval)
-  await quiet.settled()
-  const served = quiet.told.filter(({ fate }) => fate === Fate.Completed).length
-  const findings = served < SERVED_PART * quiet.told.length ? [`only ${served} of ${quiet.told.length} jobs were served after the faults: ${JSON.stringify(count(quiet.told))}`] : []
+async function checkAfterFaults (fleet: SoakFleet, random: SeededRandom, interval: number): Promise<string[]> {
+  const callers = new SoakCallers(fleet, random, FAULT_FREE_JOBS_BASE, { resubmitsRefused: true })
+  await callers.run(FAULT_FREE_TIME, interval)
+  await callers.settled()
+  const served = callers.told.filter(({ outcome }) => outcome === Outcome.Completed).length
+  const findings = served < MIN_SERVED_FRACTION * callers.told.length ? [`only ${served} of ${callers.told.length} jobs were served after the faults: ${JSON.stringify(countOutcomes(callers.told))}`] : []
   const version = fleet.configure()
-  await pause(RECOVERY)
+  await pause(RECOVERY_TIME)
   for (const entry of fleet.entries) {
     const status = await fetch(fleet.urlOf(entry, '', `/v${version}/`)).then(response => response.status, () => 0)
     if (status !== 200) findings.push(`${entry.name} does not have version ${version} in force: ${status}`)
@@ -225,24 +241,25 @@
   return findings
 }
 
-function judge (fleet: SoakFleet, told: readonly Told[]): string[] {
-  const started = new Set(fleet.workers.flatMap(worker => worker.started.map(({ task }) => task.split('.')[0])))
-  const done = new Set(fleet.workers.flatMap(worker => [...worker.done]))
-  return told.flatMap(({ id, tasks, fate }) => {
-    if (fate === Fate.Refused && started.has(id)) return [`${id} was refused and a task of it started`]
-    if (fate !== Fate.Completed) return []
-    const missing = Array.from({ length: tasks }, (_none, index) => `${id}.0.0.${index}`).filter(task => !done.has(task))
+/** Checks the answers against the workers' records: no refused job was started, and each task of a completed job was done. */
+function checkAnswers (fleet: SoakFleet, results: readonly JobResult[]): string[] {
+  const startedJobs = new Set(fleet.workers.flatMap(worker => worker.started.map(({ task }) => task.split('.')[0])))
+  const doneTasks = new Set(fleet.workers.flatMap(worker => [...worker.done]))
+  return results.flatMap(({ id, tasks, outcome }) => {
+    if (outcome === Outcome.Refused && startedJobs.has(id)) return [`${id} was refused and a task of it started`]
+    if (outcome !== Outcome.Completed) return []
+    const missing = Array.from({ length: tasks }, (_none, index) => `${id}.0.0.${index}`).filter(task => !doneTasks.has(task))
     return missing.map(task => `${id} was answered as completed and ${task} was never done`)
   })
 }
 
-/** Processes that ended though no fault ended them. */
-function ended (fleet: SoakFleet): string[] {
+/** Finds processes that exited though no fault ended them. */
+function findUnexpectedExits (fleet: SoakFleet): string[] {
   return [...fleet.entries, ...fleet.agents].filter(({ struck, process }) => !struck && process?.isRunning !== true).map(({ name, process }) => `${name} ended by itself with code ${process?.exitCode}`)
 }
 
-function count (told: readonly Told[]): Record<string, number> {
+function countOutcomes (results: readonly JobResult[]): Record<string, number> {
   const counts: Record<string, number> = {}
-  for (const { fate } of told) counts[fate] = (counts[fate] ?? 0) + 1
+  for (const { outcome } of results) counts[outcome] = (counts[outcome] ?? 0) + 1
   return counts
 }
--- a/packages/trials/src/soakcallers.ts
+++ b/packages/trials/src/soakcallers.ts
@@ -1,143 +1,147 @@
-/** Callers of a soak: they submit jobs, come back as the platform's page says, and remember what they were told. */
-import type { Member, SoakFleet } from './soakfleet.ts'
+/** Callers of a soak test. They submit jobs, resubmit them as the platform's callers do, and record the results. */
+import type { FleetMember, SoakFleet } from './soakfleet.ts'
 import type { SeededRandom } from '@amaranthmast/standins/random'
 import { clientJob } from '@amaranthmast/standins/fleetdocuments'
 import { setTimeout as pause } from 'node:timers/promises'
 
-/** How long a caller that leaves early waits, in milliseconds. */
-const SHORTEST_STAY = 100
-const LONGEST_STAY = 1000
+/** Timeout of a submission that its caller cuts off early, in milliseconds. */
+const MIN_EARLY_TIMEOUT = 100
+const MAX_EARLY_TIMEOUT = 1000
 
-/** Part of the submissions whose caller leaves early. */
-const LEAVING_PART = 0.5
+/** Fraction of the submissions that are cut off early. */
+const EARLY_TIMEOUT_FRACTION = 0.5
 
-/** How long a caller waits, and how long until it comes back, in milliseconds. */
+/** Deadline of a job, and time until an unanswered job is resubmitted, in milliseconds. */
 const DEADLINE = 3000
-const RESUBMISSION = 1300
+const RESUBMISSION_DELAY = 1300
 
-/** Run time that callers estimate, in milliseconds; the true ones are 20 to 920. */
-const ESTIMATED = 200
+/** Run time that callers state for every task, in milliseconds. The actual run times are 20 to 919. */
+const ESTIMATED_RUN_TIME = 200
 
-/** Submissions of one job after which its caller gives up. */
-const SUBMISSIONS = 6
+/** Maximum number of submissions of one job. */
+const MAX_SUBMISSIONS = 6
 
 const MILLISECONDS_PER_SECOND = 1000
 
 const STATUS_OK = 200
-const STATUS_REFUSED = new Set([429, 503])
+const REFUSAL_STATUSES = new Set([429, 503])
 
-/** What became of a job. */
-export enum Fate {
+/** Outcome of a job as its caller sees it. */
+export enum Outcome {
   Completed = 'completed',
   Failed = 'failed',
-  /** Every submission was refused: no task of it may ever start. */
+  /** Every submission was refused, so no task of the job may ever start. */
   Refused = 'refused',
-  /** No answer in all its submissions. */
+  /** No submission was answered, or one was not and a later one was refused. Tasks may have run. */
   Unanswered = 'unanswered'
 }
 
-export interface Told {
+/** Result of one job after its last submission. */
+export interface JobResult {
   id: string
   tasks: number
-  fate: Fate
+  outcome: Outcome
   submissions: number
 }
 
-/** How one submission was answered. */
-interface Submitted {
-  /** 0 when there was no answer. */
+/** Response to one submission. */
+interface SubmissionResponse {
+  /** HTTP status; 0 without an answer. */
   status: number
-  /** State of the job that the answer tells. */
+  /** State of the job in the answer; `undefined` unless the status is 200. */
   state: string | undefined
-  /** When to come back, in milliseconds; 0 when that is not said. */
+  /** Delay before the next submission that the answer requests, in milliseconds; 0 if it requests none. */
   retryAfter: number
 }
 
+/** Options of {@link SoakCallers}. */
 export interface SoakCallersOptions {
-  /** Refused callers come back when they are told to. @default false */
-  persistent?: boolean
-  /** Every second time a caller breaks its connection before the answer is due, and comes back at another entry. @default false */
+  /** Refused jobs are resubmitted after the time in `Retry-After`. @default false */
+  resubmitsRefused?: boolean
+  /** Half of the submissions are cut off early by their caller, and every resubmission goes through another entry. @default false */
   leaves?: boolean
 }
 
+/** Submits jobs to a fleet at random intervals and collects their results. */
 export class SoakCallers {
-  readonly told: Told[] = []
+  /** Results of all jobs that have ended. */
+  readonly told: JobResult[] = []
   readonly #fleet: SoakFleet
   readonly #random: SeededRandom
   readonly #options: SoakCallersOptions
-  readonly #open = new Set<Promise<void>>()
-  #jobs: number
+  readonly #openJobs = new Set<Promise<void>>()
+  #lastJobNumber: number
 
-  /** @param first number of the first job: no two callers of one fleet use the same ids */
-  constructor (fleet: SoakFleet, random: SeededRandom, first: number, options: SoakCallersOptions = {}) {
+  /** @param baseJobNumber job numbers follow this one; several instances on one fleet need separate ranges, so that ids are unique */
+  constructor (fleet: SoakFleet, random: SeededRandom, baseJobNumber: number, options: SoakCallersOptions = {}) {
     this.#fleet = fleet
     this.#random = random
-    this.#jobs = first
+    this.#lastJobNumber = baseJobNumber
     this.#options = options
   }
 
-  /** Submits jobs at this mean interval until the time is over. */
+  /** Submits jobs at the given mean interval until the time is over. Resolves without waiting for the last answers. */
   async run (milliseconds: number, interval: number): Promise<void> {
     const end = performance.now() + milliseconds
     while (performance.now() < end) {
       const job = this.#submitUntilAnswered()
-      this.#open.add(job)
-      job.finally(() => this.#open.delete(job))
+      this.#openJobs.add(job)
+      job.finally(() => this.#openJobs.delete(job))
       await pause(this.#random.next() * 2 * interval)
     }
   }
 
-  /** Waits until every caller has its answer or has given up. */
+  /** Waits until every job is answered or abandoned. */
   async settled (): Promise<void> {
-    await Promise.all(this.#open)
+    await Promise.all(this.#openJobs)
   }
 
   async #submitUntilAnswered (): Promise<void> {
-    this.#jobs += 1
-    const id = this.#jobs.toString(16).padStart(16, '0')
+    this.#lastJobNumber += 1
+    const id = this.#lastJobNumber.toString(16).padStart(16, '0')
     const tasks = this.#random.integer(1, 4)
-    let ran = false
-    let entry: Member | undefined
-    for (let submission = 1; submission <= SUBMISSIONS; submission += 1) {
-      entry = this.#choose(entry)
+    let mayHaveRun = false
+    let entry: FleetMember | undefined
+    for (let submission = 1; submission <= MAX_SUBMISSIONS; submission += 1) {
+      entry = this.#chooseEntry(entry)
       const { status, state, retryAfter } = await this.#submit(entry, id, tasks)
       if (state !== undefined) {
-        this.told.push({ id, tasks, fate: state as Fate, submissions: submission })
+        this.told.push({ id, tasks, outcome: state as Outcome, submissions: submission })
         return
       }
-      if (STATUS_REFUSED.has(status)) {
-        if (this.#options.persistent === true && retryAfter > 0 && submission < SUBMISSIONS) {
+      if (REFUSAL_STATUSES.has(status)) {
+        if (this.#options.resubmitsRefused === true && retryAfter > 0 && submission < MAX_SUBMISSIONS) {
           await pause(retryAfter)
           continue
         }
-        this.told.push({ id, tasks, fate: ran ? Fate.Unanswered : Fate.Refused, submissions: submission })
+        this.told.push({ id, tasks, outcome: mayHaveRun ? Outcome.Unanswered : Outcome.Refused, submissions: submission })
         return
       }
-      ran = true
-      await pause(RESUBMISSION)
+      mayHaveRun = true
+      await pause(RESUBMISSION_DELAY)
     }
-    this.told.push({ id, tasks, fate: Fate.Unanswered, submissions: SUBMISSIONS })
+    this.told.push({ id, tasks, outcome: Outcome.Unanswered, submissions: MAX_SUBMISSIONS })
   }
 
-  #choose (before: Member | undefined): Member {
+  #chooseEntry (previous: FleetMember | undefined): FleetMember {
     const { entries } = this.#fleet
-    return this.#random.pick(this.#options.leaves === true && entries.length > 1 ? entries.filter(entry => entry !== before) : entries)
+    return this.#random.pick(this.#options.leaves === true && entries.length > 1 ? entries.filter(entry => entry !== previous) : entries)
   }
 
-  /** How long the caller waits for its answer, in milliseconds. */
-  #stay (): number {
-    return this.#options.leaves === true && this.#random.next() < LEAVING_PART ? this.#random.integer(SHORTEST_STAY, LONGEST_STAY) : DEADLINE
+  /** Chooses how long a caller waits for the answer to one submission, in milliseconds. */
+  #requestTimeout (): number {
+    return this.#options.leaves === true && this.#random.next() < EARLY_TIMEOUT_FRACTION ? this.#random.integer(MIN_EARLY_TIMEOUT, MAX_EARLY_TIMEOUT) : DEADLINE
   }
 
-  async #submit (entry: Member, id: string, tasks: number): Promise<Submitted> {
-    const body = clientJob(tasks, ESTIMATED)
+  async #submit (entry: FleetMember, id: string, tasks: number): Promise<SubmissionResponse> {
+    const body = clientJob(tasks, ESTIMATED_RUN_TIME)
     try {
-      const response = await fetch(this.#fleet.urlOf(entry, id), { method: 'POST', body, headers: { 'x-deadline-ms': String(DEADLINE) }, signal: AbortSignal.timeout(this.#stay()) })
+      const response = await fetch(this.#fleet.urlOf(entry, id), { method: 'POST', body, headers: { 'x-deadline-ms': String(DEADLINE) }, signal: AbortSignal.timeout(this.#requestTimeout()) })
       const answer = await response.json() as { state?: string }
       const retryAfter = Number(response.headers.get('retry-after') ?? 0) * MILLISECONDS_PER_SECOND
       return { status: response.status, state: response.status === STATUS_OK ? answer.state : undefined, retryAfter }
     } catch {
-      // No answer, a broken connection or the deadline: the caller cannot tell which, and comes back.
+      // A lost answer, a broken connection and a timeout are handled alike: the caller resubmits.
       return { status: 0, state: undefined, retryAfter: 0 }
     }
   }
--- a/packages/trials/src/soakfaults.ts
+++ b/packages/trials/src/soakfaults.ts
@@ -1,5 +1,5 @@
-/** Faults from outside: signals, links, the store and the workers. Each undoes itself after a while. */
-import type { Member, SoakFleet } from './soakfleet.ts'
+/** The faults of the soak test: signals to processes, and faults of links, the store and the workers. Each is undone after a random time. */
+import type { FleetMember, SoakFleet } from './soakfleet.ts'
 import type { SeededRandom } from '@amaranthmast/standins/random'
 import type { FleetWorker, WorkerFaults } from '@amaranthmast/standins/fleetworker'
 import { readFileSync } from 'node:fs'
@@ -8,91 +8,92 @@
 import { Outage } from '@amaranthmast/standins/fleetstore'
 import { DATA_CENTRES } from './soakfleet.ts'
 
-/** Shortest and longest time of a fault, in milliseconds: below and above every limit of the leases. */
-const SHORTEST = 200
-const LONGEST = 3500
+/** Minimum and maximum duration of a fault, in milliseconds: below and above every time limit of the leases. */
+const MIN_FAULT_DURATION = 200
+const MAX_FAULT_DURATION = 3500
 
-/** How long a process that was told to stop may take: its grace and a second. */
-const STOP_LIMIT = 7000
+/** Time that a process has to stop, in milliseconds: its grace period of 6 seconds, and one second more. */
+const STOP_TIMEOUT = 7000
 
-/** Bit of SIGHUP among the signals that a process handles. */
+/** Bit of SIGHUP in the mask of signals that a process handles. */
 const SIGHUP_BIT = 1n
 
+/** Injects a fault. Resolves when it is undone. */
 type Fault = (fleet: SoakFleet, random: SeededRandom) => Promise<void>
 
-function length (random: SeededRandom): number {
-  return random.logarithmic(SHORTEST, LONGEST)
+function randomDuration (random: SeededRandom): number {
+  return random.logarithmic(MIN_FAULT_DURATION, MAX_FAULT_DURATION)
 }
 
 /**
- * Whether the process handles SIGHUP: Node has come up and has run the program's first lines. Before that no program can
- * handle a signal, and the platform starts a process that ended then again. How long it takes depends on what else the
- * machine does: beside 20 busy processes more than 400 ms.
+ * Whether the process handles SIGHUP: Node has started and has run the program's first lines. Before that no program can
+ * handle a signal, and the platform restarts a process that the signal ends. How long it takes depends on the load of
+ * the machine: next to 20 busy processes it is more than 400 ms.
  */
-export function handlesHangUp (pid: number): boolean {
+export function handlesSighup (pid: number): boolean {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8')
   const handled = /^SigCgt:\s*([0-9a-f]+)$/m.exec(status)?.[1] ?? '0'
   return (BigInt(`0x${handled}`) & SIGHUP_BIT) !== 0n
 }
 
-async function kill (fleet: SoakFleet, member: Member, random: SeededRandom): Promise<void> {
+async function kill (fleet: SoakFleet, member: FleetMember, random: SeededRandom): Promise<void> {
   member.struck = true
   await member.process?.kill()
-  await pause(length(random) / 4)
+  await pause(randomDuration(random) / 4)
   fleet.launch(member)
 }
 
-async function freeze (member: Member, random: SeededRandom): Promise<void> {
+async function freeze (member: FleetMember, random: SeededRandom): Promise<void> {
   const { process } = member
   process?.pause()
-  await pause(length(random))
+  await pause(randomDuration(random))
   process?.resume()
 }
 
-async function restart (fleet: SoakFleet, member: Member): Promise<void> {
+async function restart (fleet: SoakFleet, member: FleetMember): Promise<void> {
   member.struck = true
-  await member.process?.stop(STOP_LIMIT)
+  await member.process?.stop(STOP_TIMEOUT)
   fleet.launch(member)
 }
 
-/** Not for a process that another fault has ended a moment ago. */
-async function strike (member: Member, fault: () => Promise<void>): Promise<void> {
+/** Applies a fault to a process, unless the process has just been ended by another fault. */
+async function applyIfRunning (member: FleetMember, fault: () => Promise<void>): Promise<void> {
   if (member.struck || member.process?.isRunning !== true) return
   await fault()
 }
 
-/** Every kind of fault, by name. */
-export const FAULTS: Readonly<Record<string, Fault>> = {
-  killEntry: async (fleet, random) => await strikeOne(fleet.entries, random, async member => await kill(fleet, member, random)),
-  killAgent: async (fleet, random) => await strikeOne(fleet.agents, random, async member => await kill(fleet, member, random)),
-  freezeEntry: async (fleet, random) => await strikeOne(fleet.entries, random, async member => await freeze(member, random)),
-  freezeAgent: async (fleet, random) => await strikeOne(fleet.agents, random, async member => await freeze(member, random)),
-  restartEntry: async (fleet, random) => await strikeOne(fleet.entries, random, async member => await restart(fleet, member)),
-  restartAgent: async (fleet, random) => await strikeOne(fleet.agents, random, async member => await restart(fleet, member)),
+/** Faults of every soak test, by kind. */
+export const BASE_FAULTS: Readonly<Record<string, Fault>> = {
+  killEntry: async (fleet, random) => await applyToRandomMember(fleet.entries, random, async member => await kill(fleet, member, random)),
+  killAgent: async (fleet, random) => await applyToRandomMember(fleet.agents, random, async member => await kill(fleet, member, random)),
+  freezeEntry: async (fleet, random) => await applyToRandomMember(fleet.entries, random, async member => await freeze(member, random)),
+  freezeAgent: async (fleet, random) => await applyToRandomMember(fleet.agents, random, async member => await freeze(member, random)),
+  restartEntry: async (fleet, random) => await applyToRandomMember(fleet.entries, random, async member => await restart(fleet, member)),
+  restartAgent: async (fleet, random) => await applyToRandomMember(fleet.agents, random, async member => await restart(fleet, member)),
   hangUp: async (fleet, random) => {
     const { process } = random.pick([...fleet.entries, ...fleet.agents])
-    if (process?.isRunning === true && handlesHangUp(process.pid)) process.signal('SIGHUP')
+    if (process?.isRunning === true && handlesSighup(process.pid)) process.signal('SIGHUP')
   },
   resetLinks: async (fleet, random) => {
-    const cutter = random.pick(fleet.cutters)
+    const cutter = random.pick(fleet.linkCutters)
     cutter.cut()
-    await pause(random.integer(0, 1) * length(random))
+    await pause(random.integer(0, 1) * randomDuration(random))
     cutter.restore()
   },
   silenceLinks: async (fleet, random) => {
-    const cutter = random.pick(fleet.cutters)
+    const cutter = random.pick(fleet.linkCutters)
     cutter.freeze(random.pick([LinkState.Silent, LinkState.SilentToClient, LinkState.SilentToServer]))
-    await pause(length(random))
+    await pause(randomDuration(random))
     cutter.restore()
   },
   storeOutage: async (fleet, random) => {
     fleet.store.outage = random.pick([Outage.Silent, Outage.Busy, Outage.Reset])
-    await pause(length(random))
+    await pause(randomDuration(random))
     fleet.store.outage = Outage.None
   },
   storeLosesAnswers: async (fleet, random) => {
     fleet.store.loseAnswers = true
-    await pause(length(random))
+    await pause(randomDuration(random))
     fleet.store.loseAnswers = false
   },
   storeForgets: async fleet => {
@@ -104,36 +105,39 @@
   workerLosesAnswers: async (fleet, random) => {
     const { faults } = random.pick(fleet.workers)
     faults.loseAnswers = true
-    await pause(length(random))
+    await pause(randomDuration(random))
     faults.loseAnswers = false
   },
   workerActsLate: async (fleet, random) => {
     const { faults } = random.pick(fleet.workers)
     faults.delay = random.integer(1000, 4000)
-    await pause(length(random) / 2)
+    await pause(randomDuration(random) / 2)
     faults.delay = 0
   },
   workerRefuses: async (fleet, random) => {
     const { faults } = random.pick(fleet.workers)
     faults.refuse = true
-    await pause(length(random))
+    await pause(randomDuration(random))
     faults.refuse = false
   }
 }
 
-/** The same, evacuations and workers that start again under their id. Apart, so that a seed without them keeps its faults. */
+/**
+ * `BASE_FAULTS`, and evacuations and workers that restart under the same id. Separate, so that a seed without them
+ * still yields the same faults.
+ */
 export const OPERATOR_FAULTS: Readonly<Record<string, Fault>> = {
-  ...FAULTS,
+  ...BASE_FAULTS,
   evacuate: async (fleet, random) => {
     const dataCentre = random.pick(DATA_CENTRES)
     fleet.evacuate(dataCentre, true)
-    await pause(length(random))
+    await pause(randomDuration(random))
     fleet.evacuate(dataCentre, false)
   },
   evacuateAndStoreOutage: async (fleet, random) => {
     fleet.evacuate(random.pick(DATA_CENTRES), true)
     fleet.store.compact()
-    await FAULTS['storeOutage']?.(fleet, random)
+    await BASE_FAULTS['storeOutage']?.(fleet, random)
     for (const dataCentre of DATA_CENTRES) fleet.evacuate(dataCentre, false)
   },
   restartWorker: async (fleet, random) => random.pick(fleet.workers).restart(),
@@ -145,16 +149,16 @@
   }
 }
 
-/** Queues that a large configuration adds. */
-const MANY_QUEUES = 1500
+/** Number of queues that a large configuration adds. */
+const LARGE_CONFIGURATION_QUEUES = 1500
 
-/** Longest time in which watches hear nothing before the history is dropped, in milliseconds. */
-const DEAF = 1000
+/** Maximum time without watch events before the store's history is dropped, in milliseconds. */
+const MAX_WATCH_GAP = 1000
 
-/** The same, and what makes configurations late: large ones, several in a row, and stores that an entry can't hear. */
+/** `OPERATOR_FAULTS`, and faults that delay configurations: large ones, several in a row, and lost connections to the store. */
 export const CONFIGURATION_FAULTS: Readonly<Record<string, Fault>> = {
   ...OPERATOR_FAULTS,
-  configureLarge: async fleet => { fleet.configure(MANY_QUEUES) },
+  configureLarge: async fleet => { fleet.configure(LARGE_CONFIGURATION_QUEUES) },
   configureInARow: async (fleet, random) => {
     for (let count = random.integer(2, 5); count > 0; count -= 1) {
       fleet.configure()
@@ -165,90 +169,91 @@
   silenceStoreOfEntry: async (fleet, random) => {
     const cutter = random.pick(fleet.storeCutters)
     cutter.freeze()
-    await pause(length(random))
+    await pause(randomDuration(random))
     cutter.restore()
   },
   storeDeaf: async (fleet, random) => {
     if (fleet.store.deaf) return
     fleet.store.deaf = true
     fleet.configure()
-    await pause(random.next() * DEAF / 2)
+    await pause(random.next() * MAX_WATCH_GAP / 2)
     fleet.configure()
-    await pause(random.next() * DEAF / 2)
+    await pause(random.next() * MAX_WATCH_GAP / 2)
     fleet.store.compact()
     fleet.store.deaf = false
   }
 }
 
-/** How long the listener of a living worker is closed, in milliseconds. */
-const SHORTEST_CLOSED = 30
-const LONGEST_CLOSED = 2000
+/** Minimum and maximum time for which the listener of a running worker is closed, in milliseconds. */
+const MIN_LISTENER_CLOSED = 30
+const MAX_LISTENER_CLOSED = 2000
 
-/** How long a worker takes for an answer, in milliseconds. */
-const SHORTEST_ANSWER = 50
-const LONGEST_ANSWER = 500
+/** Minimum and maximum delay of a slow worker's answers, in milliseconds. */
+const MIN_ANSWER_DELAY = 50
+const MAX_ANSWER_DELAY = 500
 
-/** How long a process that is late, not frozen, stands still at a time and then works, in milliseconds, and how often. */
-const SHORTEST_STALL = 100
-const LONGEST_STALL = 700
-const SHORTEST_WORK = 3
-const LONGEST_WORK = 300
-const MOST_STALLS = 10
+/** Minimum and maximum time of one stall of a process and of the gap after it, in milliseconds, and maximum number of stalls in a row. */
+const MIN_STALL = 100
+const MAX_STALL = 700
+const MIN_STALL_GAP = 3
+const MAX_STALL_GAP = 300
+const MAX_STALLS = 10
 
-/** The faults of `FAULTS`, and what makes a living worker look gone, leaves its stops open, or makes processes late. */
+/** `BASE_FAULTS`, and faults that make a running worker unreachable, leave its stops unanswered, or stall processes. */
 export const REFUSAL_FAULTS: Readonly<Record<string, Fault>> = {
-  ...FAULTS,
+  ...BASE_FAULTS,
   closeListener: async (fleet, random) => await closeListener(random.pick(fleet.workers), random),
   closeListenerAndKillEntry: async (fleet, random) => await closeListenerAnd('killEntry', fleet, random),
   closeListenerAndFreezeEntry: async (fleet, random) => await closeListenerAnd('freezeEntry', fleet, random),
-  closeListenerAndKillAgent: async (fleet, random) => await strikePair(fleet, random, closeListener, async member => await kill(fleet, member, random)),
-  closeListenerAndFreezeAgent: async (fleet, random) => await strikePair(fleet, random, closeListener, async member => await freeze(member, random)),
-  slowAnswers: async (fleet, random) => await answerLate('answerDelay', fleet, random),
-  slowOrders: async (fleet, random) => await answerLate('orderDelay', fleet, random),
+  closeListenerAndKillAgent: async (fleet, random) => await applyToWorkerAndAgent(fleet, random, closeListener, async member => await kill(fleet, member, random)),
+  closeListenerAndFreezeAgent: async (fleet, random) => await applyToWorkerAndAgent(fleet, random, closeListener, async member => await freeze(member, random)),
+  slowAnswers: async (fleet, random) => await delayAnswers('answerDelay', fleet, random),
+  slowOrders: async (fleet, random) => await delayAnswers('orderDelay', fleet, random),
   ignoreStops: async (fleet, random) => await ignoreStops(random.pick(fleet.workers), random),
-  ignoreStopsAndStallAgent: async (fleet, random) => await strikePair(fleet, random, ignoreStops, async member => await stall(member, random)),
-  stallAgent: async (fleet, random) => await strikeOne(fleet.agents, random, async member => await stall(member, random)),
-  stallEntry: async (fleet, random) => await strikeOne(fleet.entries, random, async member => await stall(member, random))
+  ignoreStopsAndStallAgent: async (fleet, random) => await applyToWorkerAndAgent(fleet, random, ignoreStops, async member => await stallRepeatedly(member, random)),
+  stallAgent: async (fleet, random) => await applyToRandomMember(fleet.agents, random, async member => await stallRepeatedly(member, random)),
+  stallEntry: async (fleet, random) => await applyToRandomMember(fleet.entries, random, async member => await stallRepeatedly(member, random))
 }
 
 async function closeListener (worker: FleetWorker, random: SeededRandom): Promise<void> {
-  await worker.closeListener(random.logarithmic(SHORTEST_CLOSED, LONGEST_CLOSED))
+  await worker.closeListener(random.logarithmic(MIN_LISTENER_CLOSED, MAX_LISTENER_CLOSED))
 }
 
 async function closeListenerAnd (kind: string, fleet: SoakFleet, random: SeededRandom): Promise<void> {
-  await Promise.all([closeListener(random.pick(fleet.workers), random), FAULTS[kind]?.(fleet, random)])
+  await Promise.all([closeListener(random.pick(fleet.workers), random), BASE_FAULTS[kind]?.(fleet, random)])
 }
 
 async function ignoreStops ({ faults }: FleetWorker, random: SeededRandom): Promise<void> {
   faults.ignoreStops = true
-  await pause(length(random))
+  await pause(randomDuration(random))
   faults.ignoreStops = false
 }
 
-/** A worker and its own agent at one time. */
-async function strikePair (fleet: SoakFleet, random: SeededRandom, worker: (worker: FleetWorker, random: SeededRandom) => Promise<void>, agent: (member: Member) => Promise<void>): Promise<void> {
+/** Applies one fault to a random worker and another to its agent at the same time. */
+async function applyToWorkerAndAgent (fleet: SoakFleet, random: SeededRandom, workerFault: (worker: FleetWorker, random: SeededRandom) => Promise<void>, agentFault: (member: FleetMember) => Promise<void>): Promise<void> {
   const index = random.integer(0, fleet.workers.length - 1)
-  const member = fleet.agents[index] as Member
-  await Promise.all([worker(fleet.workers[index] as FleetWorker, random), strike(member, async () => await agent(member))])
+  const member = fleet.agents[index] as FleetMember
+  await Promise.all([workerFault(fleet.workers[index] as FleetWorker, random), applyIfRunning(member, async () => await agentFault(member))])
 }
 
-async function answerLate (which: keyof Pick<WorkerFaults, 'answerDelay' | 'orderDelay'>, fleet: SoakFleet, random: SeededRandom): Promise<void> {
+async function delayAnswers (delayField: keyof Pick<WorkerFaults, 'answerDelay' | 'orderDelay'>, fleet: SoakFleet, random: SeededRandom): Promise<void> {
   const { faults } = random.pick(fleet.workers)
-  faults[which] = random.integer(SHORTEST_ANSWER, LONGEST_ANSWER)
-  await pause(length(random))
-  faults[which] = 0
+  faults[delayField] = random.integer(MIN_ANSWER_DELAY, MAX_ANSWER_DELAY)
+  await pause(randomDuration(random))
+  faults[delayField] = 0
 }
 
-async function stall ({ process }: Member, random: SeededRandom): Promise<void> {
-  for (let count = random.integer(2, MOST_STALLS); count > 0; count -= 1) {
+async function stallRepeatedly ({ process }: FleetMember, random: SeededRandom): Promise<void> {
+  for (let count = random.integer(2, MAX_STALLS); count > 0; count -= 1) {
     process?.pause()
-    await pause(random.integer(SHORTEST_STALL, LONGEST_STALL))
+    await pause(random.integer(MIN_STALL, MAX_STALL))
     process?.resume()
-    await pause(random.logarithmic(SHORTEST_WORK, LONGEST_WORK))
+    await pause(random.logarithmic(MIN_STALL_GAP, MAX_STALL_GAP))
   }
 }
 
-async function strikeOne (members: readonly Member[], random: SeededRandom, fault: (member: Member) => Promise<void>): Promise<void> {
+/** Applies a fault to one random process, unless it has just been ended. */
+async function applyToRandomMember (members: readonly FleetMember[], random: SeededRandom, fault: (member: FleetMember) => Promise<void>): Promise<void> {
   const member = random.pick(members)
-  await strike(member, async () => await fault(member))
+  await applyIfRunning(member, async () => await fault(member))
 }
--- a/packages/trials/src/soakmain.ts
+++ b/packages/trials/src/soakmain.ts
@@ -1,12 +1,13 @@
 /**
- * Soaks the real programs under faults.
+ * Command line of the soak test. Prints the results of each seed and writes the trace of a failed one to `report/`.
+ * Exits with 1 if a seed has findings.
  *
- *     npm run soak -- --seed 1 --minutes 2          fresh seeds from 1 on for two minutes
+ *     npm run soak -- --seed 1 --minutes 2          successive seeds from 1 for two minutes
  *     npm run soak -- --seed 17 --seeds 1 --kinds killEntry,freezeAgent
- *     npm run soak -- --seed 50 --minutes 2 --configurations   with large configurations and stores that single entries don't hear
- *     npm run soak -- --seed 70 --minutes 2 --refusals         with workers that refuse connections while they live, and late processes
+ *     npm run soak -- --seed 50 --minutes 2 --configurations   with large configurations, and lost connections between single entries and the store
+ *     npm run soak -- --seed 70 --minutes 2 --refusals         with workers that refuse connections while they run, and stalled processes
  *     npm run soak -- --seed 80 --seeds 3 --refusals --entries 8 --agents 40 --busy 16 --every 100   the same with a large fleet on a busy machine
- *     npm run soak -- --seed 30 --minutes 2 --long   with tasks that outlast the pause of their callers
+ *     npm run soak -- --seed 30 --minutes 2 --long   with tasks that run longer than their callers wait before they resubmit
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import yargs from 'yargs'
@@ -36,18 +37,18 @@
 
 const end = performance.now() + settings.minutes * MILLISECONDS_PER_MINUTE
 const { kinds, leaves = settings.refusals, ...options } = settings
-let failed = 0
-let played = 0
-for (let seed = settings.seed; settings.seeds === undefined ? performance.now() < end : played < settings.seeds; seed += 1) {
+let failedSeeds = 0
+let completedSeeds = 0
+for (let seed = settings.seed; settings.seeds === undefined ? performance.now() < end : completedSeeds < settings.seeds; seed += 1) {
   const result = await soak({ ...options, seed, leaves, ...(kinds === undefined ? {} : { kinds: kinds.split(',') }) })
-  played += 1
+  completedSeeds += 1
   console.log(`seed ${seed}: ${JSON.stringify(result.jobs)}, ${result.struck.length} faults, itself ${result.late} ms late at most, ${result.findings.length} findings`)
   for (const finding of result.findings) console.log(`  ${finding}`)
   if (result.findings.length === 0) continue
-  failed += 1
+  failedSeeds += 1
   mkdirSync('report', { recursive: true })
   writeFileSync(`report/soak-${seed}.json`, JSON.stringify(result, undefined, 2))
   console.log(`  trace and logs: report/soak-${seed}.json`)
 }
-console.log(`${played} seeds, ${failed} with findings`)
-process.exitCode = failed === 0 ? 0 : 1
+console.log(`${completedSeeds} seeds, ${failedSeeds} with findings`)
+process.exitCode = failedSeeds === 0 ? 0 : 1
--- a/packages/trials/src/trial.ts
+++ b/packages/trials/src/trial.ts
@@ -1,6 +1,6 @@
 /**
- * A trial: a small system of real processes that is disturbed by signals, cut links and faults of
- * the store, and judged by the targets' own records against what callers were told.
+ * A trial: a small fleet of real processes, run under signals, cut links and store faults. The audit
+ * compares the targets' own records with the answers that callers received.
  */
 import type { View } from '@amaranthmast/coordination/messages'
 import { ownerOf } from '@amaranthmast/coordination/rendezvous'
@@ -22,16 +22,16 @@
 import { request } from 'undici'
 
 import { DirectedCaller } from './client.ts'
-import { LOAD_PATIENCE, NAMES_TRIED, PATIENCE, POLL, PROGRAMS, SLOTS, SUSPECT } from './defaults.ts'
+import { LOAD_SUBMISSION_TIMEOUT, MAX_CANDIDATE_IDS, POLL_INTERVAL, PROGRAMS, SLOTS, SUSPECT_TIMEOUT, WAIT_TIMEOUT } from './defaults.ts'
 import { TENANT } from './jobs.ts'
 
-/** Options of a trial, beside those of its fleet. */
+/** Options of a trial, in addition to those of its fleet. */
 export interface TrialOptions extends Partial<FleetOptions> {
-  /** Shares of the first configuration, by provider. @default { 'provider-a': 60, 'provider-b': 40 } */
+  /** Shares in the initial configuration, by provider. @default { 'provider-a': 60, 'provider-b': 40 } */
   shares?: Readonly<Record<string, number>>
 }
 
-/** What a trial reads of a daemon's status page. */
+/** The fields of a daemon's status page that trials read. */
 export interface DaemonStatus {
   state: string
   instance: string
@@ -46,7 +46,7 @@
   scheduler: { queued: number, outstanding: number }
 }
 
-/** The operators' file with the given shares for every service. */
+/** Contents of a configuration file with the given shares for every service, edited from the version `editedFrom`. */
 export function configurationFile (editedFrom: number, shares: Readonly<Record<string, number>>): object {
   return {
     editedFrom,
@@ -56,33 +56,33 @@
   }
 }
 
-/** A system under trial. */
+/** A running fleet with its callers, and helpers to disturb it and to wait for its state. */
 export class Trial {
   readonly fleet: Fleet
   readonly caller = new DirectedCaller()
-  readonly #loads: Caller[] = []
+  readonly #loadCallers: Caller[] = []
 
   private constructor (fleet: Fleet) {
     this.fleet = fleet
   }
 
-  /** Starts 3 entries and 3 agents, unless told otherwise, and waits until all are ready for work. */
+  /** Starts a fleet, by default 3 entries and 3 agents, and waits until all of them accept work. */
   static async begin ({ shares = { 'provider-a': 60, 'provider-b': 40 }, timings = {}, ...options }: TrialOptions = {}): Promise<Trial> {
     const trial = new Trial(new Fleet({
       programs: PROGRAMS,
       entries: 3,
       agents: 3,
       slots: SLOTS,
-      timings: { suspect: SUSPECT, ...timings },
+      timings: { suspect: SUSPECT_TIMEOUT, ...timings },
       ...options
     }))
     try {
       await trial.fleet.start()
       await trial.apply(0, shares)
-      await trial.#untilAllRun()
-      await trial.untilReady()
-      await trial.untilConfigured(1)
-      await trial.untilConnected()
+      await trial.#waitUntilAllJoined()
+      await trial.waitUntilReady()
+      await trial.waitUntilConfigured(1)
+      await trial.waitUntilConnected()
     } catch (error) {
       await trial.end()
       throw error
@@ -90,140 +90,146 @@
     return trial
   }
 
-  /** Kills what still runs and removes the files. */
+  /** Kills the processes that still run and removes the fleet's files. */
   async end (): Promise<void> {
-    await this.#keepLogs()
+    await this.#saveLogs()
     await Promise.all(this.daemons.map(daemon => daemon.process?.kill()))
-    await Promise.all([this.caller.close(), ...this.#loads.map(load => load.close())])
+    await Promise.all([this.caller.close(), ...this.#loadCallers.map(load => load.close())])
     await this.fleet.stop()
   }
 
-  /** Entry by number, from 1. */
+  /** Returns an entry by its number, from 1. */
   entry (number: number): Daemon {
-    return at(this.fleet.entries, number)
+    return daemonAt(this.fleet.entries, number)
   }
 
-  /** Agent by number, from 1. */
+  /** Returns an agent by its number, from 1. */
   agent (number: number): Daemon {
-    return at(this.fleet.agents, number)
+    return daemonAt(this.fleet.agents, number)
   }
 
+  /** All entries, then all agents. */
   get daemons (): Daemon[] {
     return [...this.fleet.entries, ...this.fleet.agents]
   }
 
-  /** Applies a configuration by the tool; throws with the tool's lines when it is refused. */
+  /** Applies a configuration with the `amaranthmast` tool. Throws with the tool's output if it is refused. */
   async apply (editedFrom: number, shares: Readonly<Record<string, number>>): Promise<void> {
     const file = join(this.fleet.folder, `configuration-${editedFrom}.json`)
     await writeFile(file, JSON.stringify(configurationFile(editedFrom, shares)))
     await this.tool('apply', file)
   }
 
-  /** Runs the tool against the store; throws with its lines unless it ends with 0. */
-  async tool (...words: string[]): Promise<void> {
-    const { code, log } = await this.fleet.run('amaranthmast', [...words, '--store', this.fleet.storeUrl])
-    if (code !== 0) throw new Error(`amaranthmast ${words.join(' ')} ended with ${code}:\n${log.join('\n')}`)
+  /** Runs the `amaranthmast` tool against the store. Throws with its output unless it exits with 0. */
+  async tool (...args: string[]): Promise<void> {
+    const { code, log } = await this.fleet.run('amaranthmast', [...args, '--store', this.fleet.storeUrl])
+    if (code !== 0) throw new Error(`amaranthmast ${args.join(' ')} exited with code ${code}:\n${log.join('\n')}`)
   }
 
-  /** Waits until every daemon that runs says that it is ready. */
-  async untilReady (daemons = this.daemons.filter(daemon => daemon.process?.isRunning)): Promise<void> {
-    await this.until(`${daemons.map(({ id }) => id).join(', ')} to be ready`, async () => {
+  /** Waits until the given daemons, by default all that run, report that they are ready. */
+  async waitUntilReady (daemons = this.daemons.filter(daemon => daemon.process?.isRunning)): Promise<void> {
+    await this.waitUntil(`${daemons.map(({ id }) => id).join(', ')} to be ready`, async () => {
       const ready = await Promise.all(daemons.map(daemon => this.fleet.isReady(daemon)))
       return ready.every(Boolean)
     })
   }
 
-  /** Waits until every daemon that runs has at least this version in force. */
-  async untilConfigured (version: number, daemons = this.daemons.filter(daemon => daemon.process?.isRunning)): Promise<void> {
-    await this.until(`version ${version} on every instance`, async () => {
+  /** Waits until the given daemons, by default all that run, have applied at least this version of the configuration. */
+  async waitUntilConfigured (version: number, daemons = this.daemons.filter(daemon => daemon.process?.isRunning)): Promise<void> {
+    await this.waitUntil(`configuration version ${version} on every instance`, async () => {
       const pages = await Promise.all(daemons.map(daemon => this.status(daemon)))
       return pages.every(page => page.configurationVersion >= version)
     })
   }
 
-  /** Waits until every entry that runs has a link to every agent that runs. */
-  async untilConnected (): Promise<void> {
+  /** Waits until every running entry is connected to every running agent. */
+  async waitUntilConnected (): Promise<void> {
     const entries = this.fleet.entries.filter(entry => entry.process?.isRunning)
     const agents = this.fleet.agents.filter(agent => agent.process?.isRunning)
-    await this.until('every entry to know every agent', async () => {
+    await this.waitUntil('every entry to be connected to every agent', async () => {
       const pages = await Promise.all(entries.map(entry => this.status(entry)))
       return pages.every(page => page.agents.filter(({ connected }) => connected).length >= agents.length)
     })
   }
 
-  /** Waits until an entry sees exactly these entries as members. */
-  async untilMembers (seenBy: Daemon, members: readonly Daemon[]): Promise<void> {
-    const wanted = members.map(({ id }) => id).sort().join()
-    await this.until(`${seenBy.id} to see ${wanted}`, async () => {
+  /** Waits until the live members in an entry's view are exactly the given entries. */
+  async waitUntilMembers (seenBy: Daemon, members: readonly Daemon[]): Promise<void> {
+    const expected = members.map(({ id }) => id).sort().join()
+    await this.waitUntil(`the view of ${seenBy.id} to be ${expected}`, async () => {
       const { view } = await this.status(seenBy)
-      return liveMembers(view).map(({ instance }) => idOf(instance)).sort().join() === wanted
+      return liveMembers(view).map(({ instance }) => idOf(instance)).sort().join() === expected
     })
   }
 
-  /** Waits for something, with a bound that only a broken system reaches. */
-  until (what: string, isTrue: () => Promise<boolean> | boolean): Promise<void> {
-    return waitFor(what, PATIENCE, POLL, isTrue)
+  /** Polls a condition. Throws after `WAIT_TIMEOUT`, which only a broken system reaches. */
+  waitUntil (what: string, isTrue: () => Promise<boolean> | boolean): Promise<void> {
+    return waitFor(what, WAIT_TIMEOUT, POLL_INTERVAL, isTrue)
   }
 
+  /** Fetches a daemon's status page. */
   async status (daemon: Daemon): Promise<DaemonStatus> {
     const response = await request(`${daemon.statusUrl}/status`)
     return await response.body.json() as DaemonStatus
   }
 
-  /** Job ids that the given entry owns in its own view. */
+  /**
+   * Generates job ids that the given entry owns according to its own view.
+   *
+   * @param count how many ids to return at most
+   */
   async idsOwnedBy (entry: Daemon, count: number, prefix: string): Promise<string[]> {
     const { view, instance } = await this.status(entry)
-    const members = liveMembers(view)
-    const names = Array.from({ length: NAMES_TRIED }, (_, number) => `${prefix}-${number}`)
-    return names.filter(name => ownerOf(`${TENANT}/${name}`, members) === instance).slice(0, count)
+    const liveEntries = liveMembers(view)
+    const candidates = Array.from({ length: MAX_CANDIDATE_IDS }, (_, number) => `${prefix}-${number}`)
+    return candidates.filter(name => ownerOf(`${TENANT}/${name}`, liveEntries) === instance).slice(0, count)
   }
 
-  /** Starts of a job so far, over all targets. */
-  starts (job: string): Promise<StartRecord[]> {
-    return this.startsOf([job])
+  /** Fetches the starts of a job so far, over all targets. */
+  startsOfJob (job: string): Promise<StartRecord[]> {
+    return this.startsOfJobs([job])
   }
 
-  /** Starts of some jobs so far, over all targets. */
-  async startsOf (jobs: readonly string[]): Promise<StartRecord[]> {
+  /** Fetches the starts of several jobs so far, over all targets. */
+  async startsOfJobs (jobs: readonly string[]): Promise<StartRecord[]> {
     const targets = await fetchRecords(this.fleet.targetUrls)
     return targets.flatMap(({ records }) => records).filter(record => jobs.includes(record.job))
   }
 
-  /** Waits until so many tasks of a job have started; throws at once when the job is answered with fewer. */
-  async untilStarted (job: string, tasks = 1): Promise<void> {
+  /** Waits until the given number of a job's tasks have started. Throws at once if the job is answered with fewer starts. */
+  async waitUntilStarted (job: string, tasks = 1): Promise<void> {
     const final = (): AnswerBody | undefined => this.records.find(({ submission }) => submission.job === job)?.final
-    await this.until(`${tasks} starts of ${job}`, async () => (await this.starts(job)).length >= tasks || final() !== undefined)
-    const started = (await this.starts(job)).length
-    if (started < tasks) throw new Error(`${job} had ${started} starts and was answered ${JSON.stringify(final())}`)
+    await this.waitUntil(`${tasks} starts of ${job}`, async () => (await this.startsOfJob(job)).length >= tasks || final() !== undefined)
+    const started = (await this.startsOfJob(job)).length
+    if (started < tasks) throw new Error(`${job} had only ${started} starts when it was answered ${JSON.stringify(final())}`)
   }
 
-  /** Runs a load through a balancer, in which callers submit lost jobs again elsewhere. Resolves when all are answered. */
+  /** Runs a load through a load balancer. Callers resubmit unanswered jobs through another entry. Resolves when all are answered. */
   async load (options: LoadOptions): Promise<void> {
-    const caller = new Caller({ entries: this.fleet.callersUrls, submissionTimeout: LOAD_PATIENCE })
-    this.#loads.push(caller)
+    const caller = new Caller({ entries: this.fleet.callersUrls, submissionTimeout: LOAD_SUBMISSION_TIMEOUT })
+    this.#loadCallers.push(caller)
     await caller.start()
     await runLoad(planLoad(options), caller)
   }
 
-  /** Every job of the trial, directed or of a load. */
+  /** Every job of the trial, submitted directly or by a load. */
   get records (): JobRecord[] {
-    return [...this.caller.records, ...this.#loads.flatMap(load => load.records())]
+    return [...this.caller.records, ...this.#loadCallers.flatMap(load => load.records())]
   }
 
-  /** Jobs whose final answer is not a complete one, for a person. */
+  /** One readable line for each job whose final answer is not complete. */
   notComplete (): string[] {
     return this.records.filter(({ final }) => final?.kind !== AnswerWord.Complete).map(({ submission, final }) => {
       return `${submission.job}: ${final?.kind} ${final?.cause} ${final?.detail}`
     })
   }
 
-  /** Judges the whole trial once the targets have come to rest. */
-  async judge (): Promise<AuditReport> {
+  /** Audits all jobs of the trial once no target runs a task any more. */
+  async audit (): Promise<AuditReport> {
     return audit(this.records, await fetchSettledRecords(this.fleet.targetUrls))
   }
 
-  /** Changes faults of the store, by its control port. */
-  async storeFaults (faults: Partial<KeyValueFaults>): Promise<void> {
+  /** Sets faults of the store through its control port. */
+  async setStoreFaults (faults: Partial<KeyValueFaults>): Promise<void> {
     const line = this.fleet.store?.log.find(text => text.startsWith('{"listening"')) ?? '{}'
     const { control } = JSON.parse(line) as { control?: number }
     const response = await request(`http://127.0.0.1:${control}/standin/faults`, { method: 'POST', body: JSON.stringify(faults) })
@@ -231,11 +237,11 @@
   }
 
   /**
-   * Starts again what ended before all were ready, as the platform does: on a machine that is busy with
-   * other tests, an entry may be so slow at first that the others remove it.
+   * Waits until every entry is a member. Restarts daemons that exited before, as the platform does: on a machine
+   * that is busy with other tests, an entry can start so slowly that the others remove it.
    */
-  async #untilAllRun (): Promise<void> {
-    await this.until('all entries to be members', async () => {
+  async #waitUntilAllJoined (): Promise<void> {
+    await this.waitUntil('all entries to be members', async () => {
       const ended = this.daemons.filter(daemon => daemon.process?.isRunning !== true)
       await Promise.all(ended.map(daemon => this.fleet.startDaemon(daemon)))
       const { view } = await this.status(this.entry(1))
@@ -243,21 +249,21 @@
     })
   }
 
-  /** For a person who looks into a failure: writes the records and the daemons' last lines to the folder that the environment names. */
-  async #keepLogs (): Promise<void> {
+  /** Writes the records and the daemons' log lines to the folder in `AMARANTHMAST_TRIAL_LOGS`, if set, for analysis of a failure. */
+  async #saveLogs (): Promise<void> {
     const folder = process.env.AMARANTHMAST_TRIAL_LOGS
     if (folder === undefined) return
     const name = this.fleet.folder.slice(-6)
     await writeFile(join(folder, `${name}-records.json`), JSON.stringify(this.records))
     await writeFile(join(folder, `${name}-starts.json`), JSON.stringify(await fetchRecords(this.fleet.targetUrls).catch(() => [])))
-    for (const { id, process: launched, earlierLogs } of this.daemons) {
-      await writeFile(join(folder, `${name}-${id}.log`), [...earlierLogs.flat(), ...launched?.log ?? []].join('\n'))
+    for (const { id, process: launchedProcess, earlierLogs } of this.daemons) {
+      await writeFile(join(folder, `${name}-${id}.log`), [...earlierLogs.flat(), ...launchedProcess?.log ?? []].join('\n'))
     }
   }
 }
 
-function at (daemons: readonly Daemon[], number: number): Daemon {
+function daemonAt (daemons: readonly Daemon[], number: number): Daemon {
   const daemon = daemons[number - 1]
-  if (daemon === undefined) throw new RangeError(`there is no daemon ${number}`)
+  if (daemon === undefined) throw new RangeError(`daemon ${number} does not exist`)
   return daemon
 }
--- a/packages/trials/test/agentkill.test.ts
+++ b/packages/trials/test/agentkill.test.ts
@@ -3,7 +3,7 @@
 import type { Attempt, JobRecord } from '@amaranthmast/standins/records'
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -17,23 +17,23 @@
     const trial = await Trial.begin()
     t.after(() => trial.end())
     const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'running')
-    const job = trial.caller.lodge(newJob(id, { run: 1_500, repeatable }))
+    const job = trial.caller.addJob(newJob(id, { run: 1_500, repeatable }))
 
     const first = trial.caller.send(job, trial.entry(1).callersUrl)
-    await trial.untilStarted(id)
-    const [start] = await trial.starts(id)
+    await trial.waitUntilStarted(id)
+    const [start] = await trial.startsOfJob(id)
     const agent = trial.agent(Number(start?.target.split('-')[1]))
     await trial.fleet.killDaemon(agent)
     await trial.fleet.startDaemon(agent)
     const second = trial.caller.send(job, trial.entry(2).callersUrl)
-    await trial.untilReady()
+    await trial.waitUntilReady()
     const third = trial.caller.send(job, trial.entry(3).callersUrl)
 
     const answers = await Promise.all([first, second, third])
-    expect(answers.map(kindOf)).toEqual(['mayHaveRun', 'mayHaveRun', 'mayHaveRun'])
-    const report = await trial.judge()
+    expect(answers.map(answerKind)).toEqual(['mayHaveRun', 'mayHaveRun', 'mayHaveRun'])
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
-    expect((await trial.starts(id)).length).toEqual(1)
+    expect((await trial.startsOfJob(id)).length).toEqual(1)
   })
 }
 
@@ -44,20 +44,20 @@
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 12, 'both')
-  const answered = ids.slice(0, 6).map(id => trial.caller.lodge(newJob(id, { run: 50 })))
-  const running = ids.slice(6).map(id => trial.caller.lodge(newJob(id, { run: 1_000 })))
+  const answered = ids.slice(0, 6).map(id => trial.caller.addJob(newJob(id, { run: 50 })))
+  const running = ids.slice(6).map(id => trial.caller.addJob(newJob(id, { run: 1_000 })))
   await sendAll(trial, answered, 1)
   const open = sendAll(trial, running, 1)
-  await Promise.all(ids.map(id => trial.untilStarted(id)))
+  await Promise.all(ids.map(id => trial.waitUntilStarted(id)))
 
   const lost = await idsAt(trial, 'target-2', ids)
   await Promise.all([trial.fleet.killDaemon(trial.entry(1)), trial.fleet.killDaemon(trial.agent(2))])
   const answers = await sendAll(trial, [...answered, ...running], 3)
   await open
 
-  expect(answers.map(kindOf)).toEqual(ids.map(id => lost.has(id) ? 'mayHaveRun' : 'complete'))
+  expect(answers.map(answerKind)).toEqual(ids.map(id => lost.has(id) ? 'mayHaveRun' : 'complete'))
   expect(lost.size).toBeGreaterThan(0)
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(ids.length)
 })
@@ -68,16 +68,16 @@
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const ids = [...await trial.idsOwnedBy(trial.entry(1), 3, 'two'), ...await trial.idsOwnedBy(trial.entry(2), 3, 'two')]
-  const jobs = ids.map(id => trial.caller.lodge(newJob(id, { tasks: 3, run: 200 })))
+  const jobs = ids.map(id => trial.caller.addJob(newJob(id, { tasks: 3, run: 200 })))
   const open = Promise.all([sendAll(trial, jobs.slice(0, 3), 1), sendAll(trial, jobs.slice(3), 2)])
-  await trial.until('some starts', async () => (await trial.startsOf(ids)).length >= 4)
+  await trial.waitUntil('some starts', async () => (await trial.startsOfJobs(ids)).length >= 4)
 
   await Promise.all([trial.fleet.killDaemon(trial.entry(1)), trial.fleet.killDaemon(trial.entry(2))])
   const answers = await sendAll(trial, jobs, 3)
   await open
 
-  expect(answers.map(kindOf)).toEqual(ids.map(() => 'complete'))
-  const report = await trial.judge()
+  expect(answers.map(answerKind)).toEqual(ids.map(() => 'complete'))
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(ids.length * 3)
 })
@@ -90,25 +90,25 @@
   const trial = await Trial.begin({ slots: 1, timings: { clockMargin: margin } })
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 4, 'all')
-  const answered = Array.from({ length: 6 }, (_, number) => trial.caller.lodge(newJob(`answered-${number}`, { run: 50 })))
+  const answered = Array.from({ length: 6 }, (_, number) => trial.caller.addJob(newJob(`answered-${number}`, { run: 50 })))
   await sendAll(trial, answered, 1)
-  const running = ids.map(id => trial.caller.lodge(newJob(id, { tasks: 3, run: 200 })))
+  const running = ids.map(id => trial.caller.addJob(newJob(id, { tasks: 3, run: 200 })))
   const jobs = [...answered, ...running]
   const open = sendAll(trial, running, 1)
-  await trial.until('some starts', async () => (await trial.startsOf(ids)).length >= 4)
+  await trial.waitUntil('some starts', async () => (await trial.startsOfJobs(ids)).length >= 4)
 
   const killed = [...trial.fleet.entries, trial.agent(2)]
   await Promise.all(killed.map(daemon => trial.fleet.killDaemon(daemon)))
   await Promise.all(killed.map(daemon => trial.fleet.startDaemon(daemon)))
-  await trial.untilReady()
+  await trial.waitUntilReady()
   const answers = await sendAll(trial, jobs, 2)
   await open
   const { horizon } = await trial.status(trial.entry(3))
-  await trial.until('the margin to pass', () => Date.now() > horizon + margin)
+  await trial.waitUntil('the margin to pass', () => Date.now() > horizon + margin)
   await trial.load({ seed: 4, rate: 20, seconds: 1, scale: 0.2, burstEvery: 0 })
 
-  for (const answer of answers) expect(['complete', 'mayHaveRun']).toInclude(kindOf(answer))
-  const report = await trial.judge()
+  for (const answer of answers) expect(['complete', 'mayHaveRun']).toInclude(answerKind(answer))
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.counts.complete).toBeGreaterThanOrEqual(20)
 })
@@ -118,6 +118,6 @@
 }
 
 async function idsAt (trial: Trial, target: string, ids: readonly string[]): Promise<Set<string>> {
-  const starts = await trial.startsOf(ids)
+  const starts = await trial.startsOfJobs(ids)
   return new Set(starts.filter(start => start.target === target).map(start => start.job))
 }
--- a/packages/trials/test/callers.test.ts
+++ b/packages/trials/test/callers.test.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -12,18 +12,18 @@
   // every slot is free afterwards, and a caller that comes back gets the answer of its job.
   const trial = await Trial.begin({ slots: 2 })
   t.after(() => trial.end())
-  const jobs = Array.from({ length: 9 }, (_, number) => trial.caller.lodge(newJob(`gone-${number}`, { tasks: 3, run: 200 })))
+  const jobs = Array.from({ length: 9 }, (_, number) => trial.caller.addJob(newJob(`gone-${number}`, { tasks: 3, run: 200 })))
   const away = new AbortController()
   const sent = jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + number % 3).callersUrl, away.signal))
-  await trial.until('some starts', async () => (await trial.startsOf(jobs.map(job => job.submission.job))).length >= 6)
+  await trial.waitUntil('some starts', async () => (await trial.startsOfJobs(jobs.map(job => job.submission.job))).length >= 6)
 
   away.abort()
   await Promise.all(sent)
-  await trial.until('all slots to be free', async () => await isIdle(trial))
+  await trial.waitUntil('all slots to be free', async () => await isIdle(trial))
   const back = await Promise.all(jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + (number + 1) % 3).callersUrl)))
 
-  expect(back.map(kindOf)).toEqual(jobs.map(() => 'complete'))
-  const report = await trial.judge()
+  expect(back.map(answerKind)).toEqual(jobs.map(() => 'complete'))
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(27)
   expect(report.askedAboveSlots).toEqual(0)
@@ -35,22 +35,22 @@
   // job has the slots.
   const trial = await Trial.begin({ slots: 2 })
   t.after(() => trial.end())
-  const jobs = Array.from({ length: 30 }, (_, number) => trial.caller.lodge(newJob(`wave-${number}`, { tasks: 2, run: 400 })))
+  const jobs = Array.from({ length: 30 }, (_, number) => trial.caller.addJob(newJob(`wave-${number}`, { tasks: 2, run: 400 })))
   const sent = jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + number % 3).callersUrl))
-  await trial.until('some starts', async () => (await trial.startsOf(jobs.map(job => job.submission.job))).length >= 6)
+  await trial.waitUntil('some starts', async () => (await trial.startsOfJobs(jobs.map(job => job.submission.job))).length >= 6)
 
   await Promise.all(jobs.map((job, number) => trial.caller.cancel(job, trial.entry(1 + (number + 1) % 3).callersUrl)))
   const answers = await Promise.all(sent)
-  await trial.until('all slots to be free', async () => await isIdle(trial))
-  const started = (await trial.startsOf(jobs.map(job => job.submission.job))).length
-  const next = await trial.caller.send(trial.caller.lodge(newJob('next', { tasks: 6, run: 50 })), trial.entry(1).callersUrl)
+  await trial.waitUntil('all slots to be free', async () => await isIdle(trial))
+  const started = (await trial.startsOfJobs(jobs.map(job => job.submission.job))).length
+  const next = await trial.caller.send(trial.caller.addJob(newJob('next', { tasks: 6, run: 50 })), trial.entry(1).callersUrl)
 
-  const refused = answers.filter(answer => kindOf(answer) === 'refused')
+  const refused = answers.filter(answer => answerKind(answer) === 'refused')
   expect(refused.length).toBeGreaterThan(0)
-  expect(answers.map(kindOf).filter(kind => kind === 'no answer')).toEqual([])
-  expect(kindOf(next)).toEqual('complete')
-  expect((await trial.startsOf(jobs.map(job => job.submission.job))).length).toEqual(started)
-  const report = await trial.judge()
+  expect(answers.map(answerKind).filter(kind => kind === 'no answer')).toEqual([])
+  expect(answerKind(next)).toEqual('complete')
+  expect((await trial.startsOfJobs(jobs.map(job => job.submission.job))).length).toEqual(started)
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
 })
 
--- a/packages/trials/test/cuts.test.ts
+++ b/packages/trials/test/cuts.test.ts
@@ -25,18 +25,18 @@
     const trial = await Trial.begin({ relays: true })
     t.after(() => trial.end())
     const load = trial.load(LOAD)
-    await trial.until('the load to run', () => trial.records.length >= 15)
+    await trial.waitUntil('the load to run', () => trial.records.length >= 15)
 
     cut(trial.fleet.link(LinkKind.Peers, 'entry-1'))
-    await trial.untilMembers(trial.entry(3), [trial.entry(2), trial.entry(3)])
-    await trial.until('more load', () => trial.records.length >= 45)
+    await trial.waitUntilMembers(trial.entry(3), [trial.entry(2), trial.entry(3)])
+    await trial.waitUntil('more load', () => trial.records.length >= 45)
     trial.fleet.link(LinkKind.Peers, 'entry-1').restore()
     await trial.entry(1).process?.ended
     await trial.fleet.startDaemon(trial.entry(1))
-    await trial.untilReady()
+    await trial.waitUntilReady()
     await load
 
-    const report = await trial.judge()
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(report.counts.complete).toBeGreaterThan(report.counts.jobs / 2)
   })
@@ -49,18 +49,18 @@
     const trial = await Trial.begin({ relays: true })
     t.after(() => trial.end())
     const load = trial.load(LOAD)
-    await trial.until('the load to run', () => trial.records.length >= 15)
+    await trial.waitUntil('the load to run', () => trial.records.length >= 15)
 
     cut(trial.fleet.link(LinkKind.Store, 'entry-1'))
-    await trial.until('more load', () => trial.records.length >= 35)
+    await trial.waitUntil('more load', () => trial.records.length >= 35)
     cut(trial.fleet.link(LinkKind.Store, 'entry-2'))
-    await trial.until('yet more load', () => trial.records.length >= 60)
+    await trial.waitUntil('yet more load', () => trial.records.length >= 60)
     trial.fleet.link(LinkKind.Store, 'entry-1').restore()
     trial.fleet.link(LinkKind.Store, 'entry-2').restore()
     await load
-    await trial.untilMembers(trial.entry(1), trial.fleet.entries)
+    await trial.waitUntilMembers(trial.entry(1), trial.fleet.entries)
 
-    const report = await trial.judge()
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(trial.notComplete()).toEqual([])
   })
--- a/packages/trials/test/entrykill.test.ts
+++ b/packages/trials/test/entrykill.test.ts
@@ -3,7 +3,7 @@
 import type { Attempt, JobRecord } from '@amaranthmast/standins/records'
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -15,16 +15,16 @@
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'running')
-  const job = trial.caller.lodge(newJob(id, { tasks: 12, run: 300 }))
+  const job = trial.caller.addJob(newJob(id, { tasks: 12, run: 300 }))
 
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.untilStarted(id, 4)
+  await trial.waitUntilStarted(id, 4)
   await trial.fleet.killDaemon(trial.entry(1))
   const second = await trial.caller.send(job, trial.entry(2).callersUrl)
 
   expect((await first).answer).toEqual(undefined)
-  expect(kindOf(second)).toEqual('complete')
-  const report = await trial.judge()
+  expect(answerKind(second)).toEqual('complete')
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(12)
 })
@@ -36,21 +36,21 @@
   t.after(() => trial.end())
   const [busyId = ''] = await trial.idsOwnedBy(trial.entry(2), 1, 'busy')
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'queued')
-  const busy = trial.caller.lodge(newJob(busyId, { tasks: 12, run: 500 }))
-  const job = trial.caller.lodge(newJob(id, { tasks: 2, run: 50 }))
+  const busy = trial.caller.addJob(newJob(busyId, { tasks: 12, run: 500 }))
+  const job = trial.caller.addJob(newJob(id, { tasks: 2, run: 50 }))
 
   const blocking = trial.caller.send(busy, trial.entry(2).callersUrl)
-  await trial.untilStarted(busyId, 3)
+  await trial.waitUntilStarted(busyId, 3)
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.until('the job to wait', async () => (await trial.caller.lookUp(job, trial.entry(2).callersUrl)).state !== 'unknown')
-  expect(await trial.starts(id)).toEqual([])
+  await trial.waitUntil('the job to wait', async () => (await trial.caller.lookUp(job, trial.entry(2).callersUrl)).state !== 'unknown')
+  expect(await trial.startsOfJob(id)).toEqual([])
   await trial.fleet.killDaemon(trial.entry(1))
   const second = await trial.caller.send(job, trial.entry(3).callersUrl)
 
   expect((await first).answer).toEqual(undefined)
-  expect(kindOf(second)).toEqual('complete')
-  expect(kindOf(await blocking)).toEqual('complete')
-  const report = await trial.judge()
+  expect(answerKind(second)).toEqual('complete')
+  expect(answerKind(await blocking)).toEqual('complete')
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(14)
 })
@@ -61,15 +61,15 @@
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 4, 'answered')
-  const jobs = ids.map(id => trial.caller.lodge(newJob(id, { tasks: 5, run: 60 })))
+  const jobs = ids.map(id => trial.caller.addJob(newJob(id, { tasks: 5, run: 60 })))
   const before = await sendAll(trial, jobs, 1)
 
   await trial.fleet.killDaemon(trial.entry(1))
   const after = [...await sendAll(trial, jobs.slice(0, 2), 2), ...await sendAll(trial, jobs.slice(2), 3)]
 
-  expect(before.map(kindOf)).toEqual(ids.map(() => 'complete'))
+  expect(before.map(answerKind)).toEqual(ids.map(() => 'complete'))
   expect(after.map(({ answer }) => answer)).toEqual(before.map(({ answer }) => answer))
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(20)
 })
@@ -80,14 +80,14 @@
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'forwarded')
-  const job = trial.caller.lodge(newJob(id, { tasks: 9, run: 250 }))
+  const job = trial.caller.addJob(newJob(id, { tasks: 9, run: 250 }))
 
   const answer = trial.caller.send(job, trial.entry(2).callersUrl)
-  await trial.untilStarted(id, 4)
+  await trial.waitUntilStarted(id, 4)
   await trial.fleet.killDaemon(trial.entry(1))
 
-  expect(kindOf(await answer)).toEqual('complete')
-  const report = await trial.judge()
+  expect(answerKind(await answer)).toEqual('complete')
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(9)
 })
--- a/packages/trials/test/latestops.test.ts
+++ b/packages/trials/test/latestops.test.ts
@@ -1,4 +1,4 @@
-import type { Member } from '../src/soakfleet.ts'
+import type { FleetMember } from '../src/soakfleet.ts'
 import { after, test } from 'node:test'
 import { setTimeout as pause } from 'node:timers/promises'
 import { clientJob } from '@amaranthmast/standins/fleetdocuments'
@@ -21,12 +21,12 @@
 after(() => fleet.close())
 
 /** Submits the job; resolves when it is answered or its connection breaks. */
-async function submit (entry: Member): Promise<void> {
+async function submit (entry: FleetMember): Promise<void> {
   const options = { method: 'POST', body: clientJob(1, TASK_MILLISECONDS), headers: { 'x-deadline-ms': String(DEADLINE_MILLISECONDS) }, signal: AbortSignal.timeout(DEADLINE_MILLISECONDS) }
   await fetch(fleet.urlOf(entry, ID), options).catch(() => {})
 }
 
-async function standStillOften ({ process }: Member): Promise<void> {
+async function standStillOften ({ process }: FleetMember): Promise<void> {
   for (let turn = 0; turn < TURNS; turn += 1) {
     process?.pause()
     await pause(STILL_MILLISECONDS)
@@ -38,7 +38,7 @@
 // Guards against a lease that is renewed for as long as the stops of a task get no answer.
 test('a task whose entry was killed has ended when its caller comes back, though the agent is late and its stops get no answer', { timeout: 60_000 }, async () => {
   await fleet.start(2, 4, () => TASK_MILLISECONDS)
-  const [first, second] = fleet.entries as [Member, Member]
+  const [first, second] = fleet.entries as [FleetMember, FleetMember]
   const starts = (): number[] => fleet.workers.flatMap(({ started }, index) => started.map(() => index))
   await waitFor('both entries', 10_000, 50, async () => {
     const answers = await Promise.all([first, second].map(async entry => await fetch(fleet.urlOf(entry, '')).then(({ status }) => status, () => 0)))
@@ -50,7 +50,7 @@
   await pause(200)
   const worker = fleet.workers[index]
   if (worker !== undefined) worker.faults.ignoreStops = true
-  const late = standStillOften(fleet.agents[index] as Member)
+  const late = standStillOften(fleet.agents[index] as FleetMember)
   await pause(100)
   await first.process?.kill()
   await pause(RESUBMISSION_MILLISECONDS)
--- a/packages/trials/test/pause.test.ts
+++ b/packages/trials/test/pause.test.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -15,23 +15,23 @@
   t.after(() => trial.end())
   for (const round of ['first', 'second']) {
     const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, round)
-    const job = trial.caller.lodge(newJob(id, { tasks: 12, run: 250 }))
+    const job = trial.caller.addJob(newJob(id, { tasks: 12, run: 250 }))
     const held = trial.caller.send(job, trial.entry(1).callersUrl)
-    await trial.untilStarted(id, 4)
+    await trial.waitUntilStarted(id, 4)
 
     trial.entry(1).process?.pause()
-    await trial.untilMembers(trial.entry(2), [trial.entry(2), trial.entry(3)])
+    await trial.waitUntilMembers(trial.entry(2), [trial.entry(2), trial.entry(3)])
     const elsewhere = await trial.caller.send(job, trial.entry(2).callersUrl)
     trial.entry(1).process?.resume()
     const late = await held
     await trial.entry(1).process?.ended
 
-    expect(kindOf(elsewhere)).toEqual('complete')
-    expect(['complete', 'mayHaveRun']).toInclude(kindOf(late))
+    expect(answerKind(elsewhere)).toEqual('complete')
+    expect(['complete', 'mayHaveRun']).toInclude(answerKind(late))
     await trial.fleet.startDaemon(trial.entry(1))
-    await trial.untilReady()
+    await trial.waitUntilReady()
   }
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(24)
 })
@@ -42,16 +42,16 @@
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'short')
-  const job = trial.caller.lodge(newJob(id, { tasks: 6, run: 200 }))
+  const job = trial.caller.addJob(newJob(id, { tasks: 6, run: 200 }))
   const held = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.untilStarted(id, 2)
+  await trial.waitUntilStarted(id, 2)
 
   trial.entry(1).process?.pause()
-  await trial.untilStarted(id, 3)
+  await trial.waitUntilStarted(id, 3)
   trial.entry(1).process?.resume()
 
-  expect(kindOf(await held)).toEqual('complete')
-  const report = await trial.judge()
+  expect(answerKind(await held)).toEqual('complete')
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(6)
 })
@@ -62,23 +62,23 @@
   // not started after that answer, and later jobs are served by it as before.
   const trial = await Trial.begin({ slots: 1, agents: 1, shares: { 'provider-a': 100 } })
   t.after(() => trial.end())
-  const job = trial.caller.lodge(newJob('paused', { tasks: 4, run: 300, deadline: 8_000 }))
+  const job = trial.caller.addJob(newJob('paused', { tasks: 4, run: 300, deadline: 8_000 }))
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.untilStarted('paused')
+  await trial.waitUntilStarted('paused')
 
   trial.agent(1).process?.pause()
   const answer = (await first).answer
-  const before = await trial.starts('paused')
+  const before = await trial.startsOfJob('paused')
   trial.agent(1).process?.resume()
-  await trial.untilReady()
-  await trial.untilConnected()
+  await trial.waitUntilReady()
+  await trial.waitUntilConnected()
   const again = await trial.caller.send(job, trial.entry(2).callersUrl)
-  const later = await trial.caller.send(trial.caller.lodge(newJob('later', { tasks: 4, run: 50 })), trial.entry(3).callersUrl)
+  const later = await trial.caller.send(trial.caller.addJob(newJob('later', { tasks: 4, run: 50 })), trial.entry(3).callersUrl)
 
   expect(['failed', 'mayHaveRun']).toInclude(answer?.kind ?? '')
   expect(again.answer).toEqual(answer)
-  expect(kindOf(later)).toEqual('complete')
-  const report = await trial.judge()
+  expect(answerKind(later)).toEqual('complete')
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
-  expect((await trial.starts('paused')).length).toEqual(before.length)
+  expect((await trial.startsOfJob('paused')).length).toEqual(before.length)
 })
--- a/packages/trials/test/rolling.test.ts
+++ b/packages/trials/test/rolling.test.ts
@@ -13,18 +13,18 @@
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const load = trial.load({ seed: 11, rate: 5, seconds: 24, scale: 0.4, burstEvery: 0 })
-  await trial.until('the load to run', () => trial.records.length >= 12)
+  await trial.waitUntil('the load to run', () => trial.records.length >= 12)
 
   for (const daemon of [...trial.fleet.entries, ...trial.fleet.agents]) {
     daemon.process?.signal('SIGTERM')
     await daemon.process?.ended
     expect(daemon.process?.exitCode).toEqual(0)
     await trial.fleet.startDaemon(daemon)
-    await trial.untilReady()
+    await trial.waitUntilReady()
   }
   await load
 
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(trial.notComplete()).toEqual([])
   const answers = trial.records.flatMap(({ attempts }) => attempts.flatMap(({ answer }) => answer ?? []))
--- a/packages/trials/test/soakfaults.test.ts
+++ b/packages/trials/test/soakfaults.test.ts
@@ -1,7 +1,7 @@
 import { after, test } from 'node:test'
 import { ProcessGroup } from '@amaranthmast/standins/processes'
 import { expect } from 'earl'
-import { handlesHangUp } from '../src/soakfaults.ts'
+import { handlesSighup } from '../src/soakfaults.ts'
 
 const PROGRAM = "process.on('SIGHUP', () => {}); console.log('up'); setInterval(() => {}, 1000)"
 
@@ -12,7 +12,7 @@
 // program can handle it then. The soak reported an agent that had ended by itself, without a log line.
 test('a process counts as hung up only once it handles the signal', async () => {
   const young = processes.start({ name: 'young', script: 'none', nodeArguments: ['--eval', PROGRAM] })
-  expect(handlesHangUp(young.pid)).toEqual(false)
+  expect(handlesSighup(young.pid)).toEqual(false)
   const grown = await processes.launch({ name: 'grown', script: 'none', nodeArguments: ['--eval', PROGRAM], readyLine: line => line === 'up' })
-  expect(handlesHangUp(grown.pid)).toEqual(true)
+  expect(handlesSighup(grown.pid)).toEqual(true)
 })
--- a/packages/trials/test/stops.test.ts
+++ b/packages/trials/test/stops.test.ts
@@ -2,7 +2,7 @@
 
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -16,24 +16,24 @@
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 6, 'stopped')
-  const jobs = ids.map(id => trial.caller.lodge(newJob(id, { tasks: 3, run: 60 })))
+  const jobs = ids.map(id => trial.caller.addJob(newJob(id, { tasks: 3, run: 60 })))
   const answered = await Promise.all(jobs.slice(0, 3).map(job => trial.caller.send(job, trial.entry(1).callersUrl)))
   const load = trial.load({ ...LOAD, seed: 7 })
-  await trial.until('the load to run', () => trial.records.length >= 30)
+  await trial.waitUntil('the load to run', () => trial.records.length >= 30)
 
   const open = jobs.slice(3).map(job => trial.caller.send(job, trial.entry(1).callersUrl))
-  await trial.until('the last jobs to arrive', async () => (await trial.startsOf(ids)).length > 9)
+  await trial.waitUntil('the last jobs to arrive', async () => (await trial.startsOfJobs(ids)).length > 9)
   trial.entry(1).process?.signal('SIGTERM')
-  await trial.until('it to be not ready', async () => !(await trial.fleet.isReady(trial.entry(1)).catch(() => false)))
+  await trial.waitUntil('it to be not ready', async () => !(await trial.fleet.isReady(trial.entry(1)).catch(() => false)))
   await trial.entry(1).process?.ended
   const last = await Promise.all(open)
   const again = await Promise.all(jobs.map(job => trial.caller.send(job, trial.entry(2).callersUrl)))
   await load
 
   expect(trial.entry(1).process?.exitCode).toEqual(0)
-  expect([...answered, ...last].map(kindOf)).toEqual(ids.map(() => 'complete'))
+  expect([...answered, ...last].map(answerKind)).toEqual(ids.map(() => 'complete'))
   expect(again.map(({ answer }) => answer)).toEqual([...answered, ...last].map(({ answer }) => answer))
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(trial.notComplete()).toEqual([])
 })
@@ -44,7 +44,7 @@
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const load = trial.load({ ...LOAD, seed: 8 })
-  await trial.until('the load to run', () => trial.records.length >= 30)
+  await trial.waitUntil('the load to run', () => trial.records.length >= 30)
 
   trial.agent(1).process?.signal('SIGTERM')
   await trial.agent(1).process?.ended
@@ -52,10 +52,10 @@
   await load
 
   expect(trial.agent(1).process?.exitCode).toEqual(0)
-  const starts = (await trial.startsOf(trial.records.map(record => record.submission.job))).filter(start => start.target === 'target-1')
+  const starts = (await trial.startsOfJobs(trial.records.map(record => record.submission.job))).filter(start => start.target === 'target-1')
   expect(starts.filter(start => start.startedAt > ended || start.finishedAt === undefined)).toEqual([])
   expect(starts.length).toBeGreaterThan(0)
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(trial.notComplete()).toEqual([])
 })
@@ -73,19 +73,19 @@
     const trial = await Trial.begin()
     t.after(() => trial.end())
     const load = trial.load({ ...LOAD, seed: 9, seconds: 6 })
-    await trial.until('the load to run', () => trial.records.length >= 30)
+    await trial.waitUntil('the load to run', () => trial.records.length >= 30)
 
     await trial.tool('drain', kind, name)
-    await trial.untilConfigured(2)
+    await trial.waitUntilConfigured(2)
     const agent = trial.agent(Number(drained[0]?.split('-')[1]))
-    await trial.until('the drained agent to be idle', async () => await isIdle(trial, agent))
+    await trial.waitUntil('the drained agent to be idle', async () => await isIdle(trial, agent))
     const idle = Date.now()
     await load
 
-    const starts = (await trial.startsOf(trial.records.map(record => record.submission.job))).filter(start => drained.includes(start.target))
+    const starts = (await trial.startsOfJobs(trial.records.map(record => record.submission.job))).filter(start => drained.includes(start.target))
     expect(starts.filter(start => start.startedAt > idle)).toEqual([])
     expect(starts.length).toBeGreaterThan(0)
-    const report = await trial.judge()
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(trial.notComplete()).toEqual([])
   })
--- a/packages/trials/test/store.test.ts
+++ b/packages/trials/test/store.test.ts
@@ -4,7 +4,7 @@
 import { LostAnswer, Outage } from '@amaranthmast/standins/keyvaluefaults'
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -20,20 +20,20 @@
     t.after(() => trial.end())
     const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'outage')
 
-    await trial.storeFaults({ outage })
+    await trial.setStoreFaults({ outage })
     await trial.load({ ...LOAD, seed: 1, prefix: 'alive' })
-    const job = trial.caller.lodge(newJob(id, { tasks: 8, run: 300 }))
+    const job = trial.caller.addJob(newJob(id, { tasks: 8, run: 300 }))
     const first = trial.caller.send(job, trial.entry(1).callersUrl)
-    await trial.untilStarted(id, 2)
+    await trial.waitUntilStarted(id, 2)
     await trial.fleet.killDaemon(trial.entry(1))
     const second = await trial.caller.send(job, trial.entry(2).callersUrl)
     await first
-    await trial.storeFaults({ outage: Outage.None })
-    await trial.untilMembers(trial.entry(2), [trial.entry(2), trial.entry(3)])
+    await trial.setStoreFaults({ outage: Outage.None })
+    await trial.waitUntilMembers(trial.entry(2), [trial.entry(2), trial.entry(3)])
     await trial.load({ ...LOAD, seconds: 1, seed: 2, prefix: 'after' })
 
-    expect(kindOf(second)).toEqual('complete')
-    const report = await trial.judge()
+    expect(answerKind(second)).toEqual('complete')
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(trial.notComplete()).toEqual([])
   })
@@ -51,17 +51,17 @@
     // effect, but their answers come late or never. Nothing is lost or doubled, and the new entry joins.
     const trial = await Trial.begin()
     t.after(() => trial.end())
-    await trial.storeFaults(faults)
+    await trial.setStoreFaults(faults)
     const load = trial.load({ ...LOAD, seed: 3, prefix: 'slow' })
-    await trial.until('the load to run', () => trial.records.length >= 10)
+    await trial.waitUntil('the load to run', () => trial.records.length >= 10)
 
     await trial.fleet.killDaemon(trial.entry(2))
     await trial.fleet.startDaemon(trial.entry(2))
     await load
-    await trial.untilMembers(trial.entry(1), trial.fleet.entries)
-    await trial.untilReady()
+    await trial.waitUntilMembers(trial.entry(1), trial.fleet.entries)
+    await trial.waitUntilReady()
 
-    const report = await trial.judge()
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(trial.notComplete()).toEqual([])
   })
--- a/packages/trials/test/targetcuts.test.ts
+++ b/packages/trials/test/targetcuts.test.ts
@@ -6,7 +6,7 @@
 import { AnswerWord } from '@amaranthmast/standins/records'
 import { expect } from 'earl'
 
-import { kindOf } from '../src/client.ts'
+import { answerKind } from '../src/client.ts'
 import { TEST_TIMEOUT } from '../src/defaults.ts'
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
@@ -16,9 +16,9 @@
   // runs on. The caller is told that the job may have run, also when it submits it again.
   const trial = await Trial.begin({ relays: true, agents: 1, shares: { 'provider-a': 100 } })
   t.after(() => trial.end())
-  const job = trial.caller.lodge(newJob('reset', { run: 800 }))
+  const job = trial.caller.addJob(newJob('reset', { run: 800 }))
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.untilStarted('reset')
+  await trial.waitUntilStarted('reset')
 
   trial.fleet.link(LinkKind.Target, 'agent-1').cut()
   const answer = (await first).answer
@@ -27,7 +27,7 @@
 
   expect(answer?.kind).toEqual(AnswerWord.MayHaveRun)
   expect(again.answer).toEqual(answer)
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(1)
 })
@@ -39,11 +39,11 @@
   t.after(() => trial.end())
   trial.fleet.link(LinkKind.Target, 'agent-2').cut()
   const ids = await trial.idsOwnedBy(trial.entry(1), 6, 'unreached')
-  const jobs = ids.map(id => trial.caller.lodge(newJob(id, { tasks: 3, run: 50 })))
+  const jobs = ids.map(id => trial.caller.addJob(newJob(id, { tasks: 3, run: 50 })))
 
   const answers = await Promise.all(jobs.map(job => trial.caller.send(job, trial.entry(1).callersUrl)))
 
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(answers.map(answerOf).filter(text => !/complete|mayHaveRun/.test(text))).toEqual([])
 })
@@ -53,18 +53,18 @@
   // comes when the link is back, and is the answer to that task.
   const trial = await Trial.begin({ relays: true, agents: 1, shares: { 'provider-a': 100 } })
   t.after(() => trial.end())
-  const job = trial.caller.lodge(newJob('silent', { tasks: 6, run: 100 }))
+  const job = trial.caller.addJob(newJob('silent', { tasks: 6, run: 100 }))
   const first = trial.caller.send(job, trial.entry(1).callersUrl)
-  await trial.untilStarted('silent')
+  await trial.waitUntilStarted('silent')
 
   trial.fleet.link(LinkKind.Target, 'agent-1').freeze(LinkState.SilentToClient)
   const again = trial.caller.send(job, trial.entry(2).callersUrl)
-  await trial.until('the first tasks to end', async () => (await trial.starts('silent')).some(start => start.finishedAt !== undefined))
+  await trial.waitUntil('the first tasks to end', async () => (await trial.startsOfJob('silent')).some(start => start.finishedAt !== undefined))
   trial.fleet.link(LinkKind.Target, 'agent-1').restore()
 
-  expect(kindOf(await first)).toEqual('complete')
+  expect(answerKind(await first)).toEqual('complete')
   expect((await again).answer).toEqual((await first).answer)
-  const report = await trial.judge()
+  const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(6)
 })
