--- a/packages/trials/src/soakcallers.ts
+++ b/packages/trials/src/soakcallers.ts
@@ -69,7 +69,7 @@
   readonly #fleet: SoakFleet
   readonly #random: SeededRandom
   readonly #options: SoakCallersOptions
-  readonly #openJobs = new Set<Promise<void>>()
+  readonly #open = new Set<Promise<void>>()
   #lastJobNumber: number
 
   /** @param baseJobNumber job numbers follow this one; several instances on one fleet need separate ranges, so that ids are unique */
@@ -85,15 +85,15 @@
     const end = performance.now() + milliseconds
     while (performance.now() < end) {
       const job = this.#submitUntilAnswered()
-      this.#openJobs.add(job)
-      job.finally(() => this.#openJobs.delete(job))
+      this.#open.add(job)
+      job.finally(() => this.#open.delete(job))
       await pause(this.#random.next() * 2 * interval)
     }
   }
 
   /** Waits until every job is answered or abandoned. */
   async settled (): Promise<void> {
-    await Promise.all(this.#openJobs)
+    await Promise.all(this.#open)
   }
 
   async #submitUntilAnswered (): Promise<void> {
--- a/packages/trials/src/trial.ts
+++ b/packages/trials/src/trial.ts
@@ -60,7 +60,7 @@
 export class Trial {
   readonly fleet: Fleet
   readonly caller = new DirectedCaller()
-  readonly #loadCallers: Caller[] = []
+  readonly #loads: Caller[] = []
 
   private constructor (fleet: Fleet) {
     this.fleet = fleet
@@ -94,7 +94,7 @@
   async end (): Promise<void> {
     await this.#saveLogs()
     await Promise.all(this.daemons.map(daemon => daemon.process?.kill()))
-    await Promise.all([this.caller.close(), ...this.#loadCallers.map(load => load.close())])
+    await Promise.all([this.caller.close(), ...this.#loads.map(load => load.close())])
     await this.fleet.stop()
   }
 
@@ -136,7 +136,7 @@
 
   /** Waits until the given daemons, by default all that run, have applied at least this version of the configuration. */
   async waitUntilConfigured (version: number, daemons = this.daemons.filter(daemon => daemon.process?.isRunning)): Promise<void> {
-    await this.waitUntil(`configuration version ${version} on every instance`, async () => {
+    await this.waitUntil(`version ${version} on every instance`, async () => {
       const pages = await Promise.all(daemons.map(daemon => this.status(daemon)))
       return pages.every(page => page.configurationVersion >= version)
     })
@@ -206,14 +206,14 @@
   /** Runs a load through a load balancer. Callers resubmit unanswered jobs through another entry. Resolves when all are answered. */
   async load (options: LoadOptions): Promise<void> {
     const caller = new Caller({ entries: this.fleet.callersUrls, submissionTimeout: LOAD_SUBMISSION_TIMEOUT })
-    this.#loadCallers.push(caller)
+    this.#loads.push(caller)
     await caller.start()
     await runLoad(planLoad(options), caller)
   }
 
   /** Every job of the trial, submitted directly or by a load. */
   get records (): JobRecord[] {
-    return [...this.caller.records, ...this.#loadCallers.flatMap(load => load.records())]
+    return [...this.caller.records, ...this.#loads.flatMap(load => load.records())]
   }
 
   /** One readable line for each job whose final answer is not complete. */
--- a/packages/trials/test/agentkill.test.ts
+++ b/packages/trials/test/agentkill.test.ts
@@ -11,9 +11,9 @@
 for (const repeatable of [false, true]) {
   const kind = repeatable ? 'repeatable' : 'not repeatable'
   test(`a task of a killed agent is never started again (${kind})`, { timeout: TEST_TIMEOUT }, async t => {
-    // An agent is killed while its target runs a task, and a new agent takes its place beside the
-    // same target with an empty ledger. The caller is told that the job may have run, and is told so
-    // again when it submits the job again. The target runs the task to its end, once.
+    // An agent is killed while its target runs a task, and is restarted for the same target with an empty
+    // ledger. Every submission of the job, also the later ones, must be answered with mayHaveRun. The target
+    // runs the task to its end, once.
     const trial = await Trial.begin()
     t.after(() => trial.end())
     const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'running')
@@ -37,10 +37,10 @@
   })
 }
 
-test('an entry and an agent killed together lose no answer and start nothing twice', { timeout: TEST_TIMEOUT }, async t => {
-  // Some jobs had been answered, others run, when the entry that had them and one of the agents are
-  // killed in the same moment. Both memories of what ran there are gone. Callers that submit again are
-  // told that those may have run; what ran at the other agents is answered whole.
+test('after an entry and an agent are killed together every job is answered and no task starts twice', { timeout: TEST_TIMEOUT }, async t => {
+  // Some jobs are answered and others run when their entry and one of the agents are killed at the same
+  // time. Both records of what ran at that agent are lost, so resubmitted jobs with tasks there must be
+  // answered with mayHaveRun. Jobs that ran at the other agents must be answered as complete.
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 12, 'both')
@@ -50,7 +50,7 @@
   const open = sendAll(trial, running, 1)
   await Promise.all(ids.map(id => trial.waitUntilStarted(id)))
 
-  const lost = await idsAt(trial, 'target-2', ids)
+  const lost = await jobsStartedAt(trial, 'target-2', ids)
   await Promise.all([trial.fleet.killDaemon(trial.entry(1)), trial.fleet.killDaemon(trial.agent(2))])
   const answers = await sendAll(trial, [...answered, ...running], 3)
   await open
@@ -62,9 +62,10 @@
   expect(report.starts).toEqual(ids.length)
 })
 
-test('the ids of two entries killed together are served by the third', { timeout: TEST_TIMEOUT }, async t => {
-  // Two of three entries die in the same moment with jobs that run and wait. Every agent lives, so the
-  // ledgers say which tasks started: the third entry answers every job that is submitted to it again.
+test('the third entry serves the job ids of two entries that are killed together', { timeout: TEST_TIMEOUT }, async t => {
+  // Two of three entries are killed at the same time while some tasks run and others wait. Every agent
+  // keeps running, so the ledgers show which tasks started, and the third entry must complete every
+  // resubmitted job.
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const ids = [...await trial.idsOwnedBy(trial.entry(1), 3, 'two'), ...await trial.idsOwnedBy(trial.entry(2), 3, 'two')]
@@ -82,10 +83,10 @@
   expect(report.starts).toEqual(ids.length * 3)
 })
 
-test('all entries and an agent killed and started anew start nothing twice and serve new jobs', { timeout: TEST_TIMEOUT }, async t => {
-  // Every entry and one agent die at once, with jobs that run, wait and are answered, and new ones start.
-  // Nobody remembers what ran at that agent: a caller that submits again gets what the other ledgers
-  // hold, or that its job may have run. A job lodged after the new memory begins is served.
+test('after a restart of all entries and an agent no task starts twice and new jobs are served', { timeout: TEST_TIMEOUT }, async t => {
+  // Every entry and one agent are killed at the same time, with jobs that run, wait and are answered, and
+  // are restarted. No record remains of what ran at that agent: a resubmitted job gets the results in the
+  // other ledgers, or mayHaveRun. Jobs lodged after the new entries' horizon are served.
   const margin = 200
   const trial = await Trial.begin({ slots: 1, timings: { clockMargin: margin } })
   t.after(() => trial.end())
@@ -117,7 +118,7 @@
   return Promise.all(jobs.map(job => trial.caller.send(job, trial.entry(entry).callersUrl)))
 }
 
-async function idsAt (trial: Trial, target: string, ids: readonly string[]): Promise<Set<string>> {
+async function jobsStartedAt (trial: Trial, target: string, ids: readonly string[]): Promise<Set<string>> {
   const starts = await trial.startsOfJobs(ids)
   return new Set(starts.filter(start => start.target === target).map(start => start.job))
 }
--- a/packages/trials/test/callers.test.ts
+++ b/packages/trials/test/callers.test.ts
@@ -7,32 +7,32 @@
 import { newJob } from '../src/jobs.ts'
 import { Trial } from '../src/trial.ts'
 
-test('callers that go away leave no slot held', { timeout: TEST_TIMEOUT }, async t => {
-  // A site loses its line: callers vanish with jobs that run and wait. Their jobs go on to their end,
-  // every slot is free afterwards, and a caller that comes back gets the answer of its job.
+test('callers that disconnect leave no slot occupied', { timeout: TEST_TIMEOUT }, async t => {
+  // Callers disconnect, as when a site loses its network, while their jobs run and wait. The jobs must run
+  // to their end and free every slot, and a resubmission must return the answer of the job.
   const trial = await Trial.begin({ slots: 2 })
   t.after(() => trial.end())
   const jobs = Array.from({ length: 9 }, (_, number) => trial.caller.addJob(newJob(`gone-${number}`, { tasks: 3, run: 200 })))
-  const away = new AbortController()
-  const sent = jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + number % 3).callersUrl, away.signal))
+  const disconnect = new AbortController()
+  const sent = jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + number % 3).callersUrl, disconnect.signal))
   await trial.waitUntil('some starts', async () => (await trial.startsOfJobs(jobs.map(job => job.submission.job))).length >= 6)
 
-  away.abort()
+  disconnect.abort()
   await Promise.all(sent)
   await trial.waitUntil('all slots to be free', async () => await isIdle(trial))
-  const back = await Promise.all(jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + (number + 1) % 3).callersUrl)))
+  const resubmissions = await Promise.all(jobs.map((job, number) => trial.caller.send(job, trial.entry(1 + (number + 1) % 3).callersUrl)))
 
-  expect(back.map(answerKind)).toEqual(jobs.map(() => 'complete'))
+  expect(resubmissions.map(answerKind)).toEqual(jobs.map(() => 'complete'))
   const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(report.starts).toEqual(27)
   expect(report.askedAboveSlots).toEqual(0)
 })
 
-test('a wave of cancellations frees the slots and says "not run" only of what did not run', { timeout: TEST_TIMEOUT }, async t => {
-  // A customer withdraws a whole batch while some of it runs and most of it waits. Each job is answered
-  // once, the ones that never started as not run. Nothing of the batch starts afterwards, and the next
-  // job has the slots.
+test('cancelling a batch frees the slots and refuses only jobs that did not run', { timeout: TEST_TIMEOUT }, async t => {
+  // A tenant cancels a whole batch of jobs while some of them run and most of them wait. Each job must be
+  // answered once, and as refused only if it never started. No task of the batch may start afterwards, and
+  // the slots must be free for the next job.
   const trial = await Trial.begin({ slots: 2 })
   t.after(() => trial.end())
   const jobs = Array.from({ length: 30 }, (_, number) => trial.caller.addJob(newJob(`wave-${number}`, { tasks: 2, run: 400 })))
--- a/packages/trials/test/configuration.test.ts
+++ b/packages/trials/test/configuration.test.ts
@@ -12,29 +12,29 @@
 const LOAD = { seed: 21, rate: 20, seconds: 1, scale: 0.2, burstEvery: 0 }
 
 test('an applied share is in force on every instance', { timeout: TEST_TIMEOUT }, async t => {
-  // Operators move all work from one provider to the other with one apply. Once every instance has the
-  // new version, nothing more starts at the first provider, through whichever entry it comes.
+  // One apply moves all work from one provider to the other. Once every instance has the new version, no
+  // task may start at the first provider, whichever entry receives the job.
   const trial = await Trial.begin({ shares: BEFORE })
   t.after(() => trial.end())
   await trial.load({ ...LOAD, prefix: 'before' })
 
   await trial.apply(1, AFTER)
   await trial.waitUntilConfigured(2)
-  const inForce = Date.now()
+  const inForceAt = Date.now()
   await trial.load({ ...LOAD, prefix: 'after' })
 
   const starts = await trial.startsOfJobs(trial.records.map(record => record.submission.job))
-  const byProvider = (from: number, to: number): string[] => targetsOf(starts.filter(({ startedAt }) => startedAt >= from && startedAt < to))
-  expect(byProvider(0, inForce)).toEqual(['target-1', 'target-2', 'target-3'])
-  expect(byProvider(inForce, Infinity)).toEqual(['target-2'])
+  const targetsStartedBetween = (from: number, to: number): string[] => targetsOf(starts.filter(({ startedAt }) => startedAt >= from && startedAt < to))
+  expect(targetsStartedBetween(0, inForceAt)).toEqual(['target-1', 'target-2', 'target-3'])
+  expect(targetsStartedBetween(inForceAt, Infinity)).toEqual(['target-2'])
   const report = await trial.audit()
   expect(report.faults).toEqual([])
   expect(trial.notComplete()).toEqual([])
 })
 
-test('an entry that has lost the store takes the configuration from its peers', { timeout: TEST_TIMEOUT }, async t => {
-  // One entry cannot reach the store when operators apply, and then the store goes down for all. The
-  // entry has the new version all the same, from the others, and so have the agents.
+test('an entry without a connection to the store receives the configuration from its peers', { timeout: TEST_TIMEOUT }, async t => {
+  // One entry cannot reach the store when a configuration is applied, and then the store goes down for
+  // all. The entry must receive the new version from its peers, and so must the agents.
   const trial = await Trial.begin({ shares: BEFORE, relays: true })
   t.after(() => trial.end())
   trial.fleet.link(LinkKind.Store, 'entry-3').cut()
@@ -52,9 +52,9 @@
   expect(trial.notComplete()).toEqual([])
 })
 
-test('no instance goes back to an older version though the store answers stale', { timeout: TEST_TIMEOUT }, async t => {
-  // The store answers reads with the state of some revisions ago, as a member of it that lags would.
-  // Every entry keeps the version it has acted on, and an entry that starts has it from its peers.
+test('no instance returns to an older version when the store answers with stale data', { timeout: TEST_TIMEOUT }, async t => {
+  // The store answers reads with the state of an earlier revision, as a lagging replica does. Every entry
+  // must keep the newest version that it has applied.
   const trial = await Trial.begin({ shares: BEFORE })
   t.after(() => trial.end())
   await trial.apply(1, AFTER)
@@ -73,10 +73,10 @@
 })
 
 for (const loseAnswersBy of [LostAnswer.Cut, LostAnswer.Hang]) {
-  test(`an apply whose answer is lost is settled and not applied twice (${loseAnswersBy})`, { timeout: TEST_TIMEOUT }, async t => {
-    // The store takes the write of an apply and its answer never arrives. The tool reads back that its
-    // own apply is in force and says so. There is one new version and not two, so the next apply, edited
-    // from it, is accepted.
+  test(`an apply whose answer is lost is confirmed and not repeated (${loseAnswersBy})`, { timeout: TEST_TIMEOUT }, async t => {
+    // The store performs the write of an apply and the answer is lost. The tool must read back that its
+    // own configuration is in force. There must be one new version and not two, so that the next apply,
+    // edited from it, is accepted.
     const trial = await Trial.begin({ shares: BEFORE })
     t.after(() => trial.end())
     await trial.setStoreFaults({ loseAnswers: 1, loseAnswersBy })
--- a/packages/trials/test/cuts.test.ts
+++ b/packages/trials/test/cuts.test.ts
@@ -12,16 +12,16 @@
 
 const CUTS: ReadonlyArray<{ name: string, cut: (link: LinkCutter) => void }> = [
   { name: 'reset', cut: link => link.cut() },
-  { name: 'silent both ways', cut: link => link.freeze(LinkState.Silent) },
-  { name: 'silent towards it', cut: link => link.freeze(LinkState.SilentToServer) },
-  { name: 'silent from it', cut: link => link.freeze(LinkState.SilentToClient) }
+  { name: 'no data in either direction', cut: link => link.freeze(LinkState.Silent) },
+  { name: 'no data to the listener', cut: link => link.freeze(LinkState.SilentToServer) },
+  { name: 'no data from the listener', cut: link => link.freeze(LinkState.SilentToClient) }
 ]
 
 for (const { name, cut } of CUTS) {
   test(`an entry is cut off from agents and entries under load (${name})`, { timeout: TEST_TIMEOUT }, async t => {
-    // Callers still reach the entry, but every link of agents and other entries to it is cut. It has
-    // jobs that run and wait. The others remove it and serve its ids. The cut ends, and it stops
-    // because it was replaced: what it was still to do is done by others, once.
+    // Callers still reach the entry, but every link from agents and other entries to it is cut while its
+    // jobs run and wait. The others remove it and serve its job ids. When the links are restored, the entry
+    // must exit because it was removed, and the others must run its remaining tasks, once each.
     const trial = await Trial.begin({ relays: true })
     t.after(() => trial.end())
     const load = trial.load(LOAD)
@@ -43,9 +43,9 @@
 }
 
 for (const { name, cut } of CUTS) {
-  test(`entries lose the store one after the other under load (${name})`, { timeout: TEST_TIMEOUT }, async t => {
-    // First one entry cannot reach the store, then a second one. As long as any entry confirms the
-    // view, or every entry answers, agents go on, and callers notice nothing.
+  test(`entries lose their connection to the store one after the other under load (${name})`, { timeout: TEST_TIMEOUT }, async t => {
+    // First one entry cannot reach the store, then a second one. As long as any entry confirms the view, or
+    // every entry responds, agents must continue to start tasks, and every job must be completed.
     const trial = await Trial.begin({ relays: true })
     t.after(() => trial.end())
     const load = trial.load(LOAD)
--- a/packages/trials/test/entrykill.test.ts
+++ b/packages/trials/test/entrykill.test.ts
@@ -9,9 +9,9 @@
 import { Trial } from '../src/trial.ts'
 
 test('a job whose entry is killed while its tasks run and wait is answered once', { timeout: TEST_TIMEOUT }, async t => {
-  // A caller's connection breaks while some tasks of its job have ended, some run and some wait.
-  // The entry was killed. The caller submits the same job through another entry, which asks every
-  // agent: what ended is taken from the ledgers, what runs is attached, what waits is run.
+  // An entry is killed while some tasks of a job have ended, some run and some wait. The caller resubmits
+  // the job through another entry, which queries every agent: it must take finished results from the
+  // ledgers, attach to running tasks, and run the waiting ones.
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'running')
@@ -29,9 +29,9 @@
   expect(report.starts).toEqual(12)
 })
 
-test('a job that waits in the queue of a killed entry is run once by another', { timeout: TEST_TIMEOUT }, async t => {
-  // Every slot is held when the job arrives, so no task of it has started. Its entry is killed.
-  // The caller submits again: the ledgers name no start of it, so it runs, once.
+test('a job that waits in the queue of a killed entry is run once by another entry', { timeout: TEST_TIMEOUT }, async t => {
+  // Every slot is occupied when the job arrives, so none of its tasks has started when its entry is killed.
+  // The ledgers contain no start of it, so the resubmitted job must run, once.
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [busyId = ''] = await trial.idsOwnedBy(trial.entry(2), 1, 'busy')
@@ -55,9 +55,9 @@
   expect(report.starts).toEqual(14)
 })
 
-test('a job that a killed entry had answered is answered the same and not run again', { timeout: TEST_TIMEOUT }, async t => {
-  // The caller has had its answer, or the answer was lost on the way: it cannot know. It submits
-  // again after the entry was killed, and the ledgers still hold every result.
+test('a job answered before its entry was killed gets the same answer and does not run again', { timeout: TEST_TIMEOUT }, async t => {
+  // A caller whose connection breaks can't distinguish a lost answer from a job without an answer, so it
+  // also resubmits answered jobs. After the entry is killed, the ledgers must still provide every result.
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 4, 'answered')
@@ -74,9 +74,10 @@
   expect(report.starts).toEqual(20)
 })
 
-test('a caller whose entry lives never learns that the owner of its job was killed', { timeout: TEST_TIMEOUT }, async t => {
-  // The caller's own entry forwarded the job to the owner, which was killed with some of its tasks
-  // running. The caller does nothing: its entry hands the job to the next owner, and one answer comes.
+test('a job whose owner is killed is answered through the entry that received it', { timeout: TEST_TIMEOUT }, async t => {
+  // The entry that receives the job forwards it to the owner, which is killed while some of its tasks run.
+  // The receiving entry must forward the job to the next owner, and the caller must get one complete
+  // answer without a resubmission.
   const trial = await Trial.begin({ slots: 1 })
   t.after(() => trial.end())
   const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'forwarded')
--- a/packages/trials/test/latestops.test.ts
+++ b/packages/trials/test/latestops.test.ts
@@ -12,31 +12,32 @@
 const DEADLINE_MILLISECONDS = 3000
 const RESUBMISSION_MILLISECONDS = 1300
 
-/** How long an agent that is late stands still at a time, how long it works between, in milliseconds, and how often. */
-const STILL_MILLISECONDS = 300
-const WORK_MILLISECONDS = 15
-const TURNS = 12
+/** Time of one stall of the agent and of the gap after it, in milliseconds, and number of stalls. */
+const STALL_MILLISECONDS = 300
+const GAP_MILLISECONDS = 15
+const STALLS = 12
 
 const fleet = new SoakFleet('dist/amaranthmast-fleet.js')
 after(() => fleet.close())
 
-/** Submits the job; resolves when it is answered or its connection breaks. */
+/** Submits the job. Resolves when it is answered or its connection breaks. */
 async function submit (entry: FleetMember): Promise<void> {
   const options = { method: 'POST', body: clientJob(1, TASK_MILLISECONDS), headers: { 'x-deadline-ms': String(DEADLINE_MILLISECONDS) }, signal: AbortSignal.timeout(DEADLINE_MILLISECONDS) }
   await fetch(fleet.urlOf(entry, ID), options).catch(() => {})
 }
 
-async function standStillOften ({ process }: FleetMember): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn += 1) {
+async function stallRepeatedly ({ process }: FleetMember): Promise<void> {
+  for (let stall = 0; stall < STALLS; stall += 1) {
     process?.pause()
-    await pause(STILL_MILLISECONDS)
+    await pause(STALL_MILLISECONDS)
     process?.resume()
-    await pause(WORK_MILLISECONDS)
+    await pause(GAP_MILLISECONDS)
   }
 }
 
-// Guards against a lease that is renewed for as long as the stops of a task get no answer.
-test('a task whose entry was killed has ended when its caller comes back, though the agent is late and its stops get no answer', { timeout: 60_000 }, async () => {
+// Guards against a lease that is renewed for as long as the stop requests of a task get no answer. The orphaned task then
+// still runs when its job is resubmitted, and runs at two workers at the same time.
+test('a task of a killed entry has ended when its job is resubmitted, though the agent stalls and its stop requests get no answer', { timeout: 60_000 }, async () => {
   await fleet.start(2, 4, () => TASK_MILLISECONDS)
   const [first, second] = fleet.entries as [FleetMember, FleetMember]
   const starts = (): number[] => fleet.workers.flatMap(({ started }, index) => started.map(() => index))
@@ -50,13 +51,13 @@
   await pause(200)
   const worker = fleet.workers[index]
   if (worker !== undefined) worker.faults.ignoreStops = true
-  const late = standStillOften(fleet.agents[index] as FleetMember)
+  const stalling = stallRepeatedly(fleet.agents[index] as FleetMember)
   await pause(100)
   await first.process?.kill()
   await pause(RESUBMISSION_MILLISECONDS)
-  const again = submit(second)
+  const resubmission = submit(second)
   await waitFor('a second run', 5000, 1, () => starts().length > 1)
-  await late
-  await again
+  await stalling
+  await resubmission
   expect(overlapsOf(fleet.workers.map(({ intervals }) => intervals)).map(({ lasted }) => lasted)).toEqual([])
 })
--- a/packages/trials/test/rolling.test.ts
+++ b/packages/trials/test/rolling.test.ts
@@ -7,8 +7,8 @@
 import { Trial } from '../src/trial.ts'
 
 test('every instance is replaced under load, one after the other, and no caller notices', { timeout: TEST_TIMEOUT }, async t => {
-  // Operators roll a new build out: each entry and each agent is stopped (SIGTERM), ends by itself, and
-  // a new one takes its place before the next is stopped. No job is cut off, refused, lost or doubled.
+  // During the rollout of a new build, each entry and each agent is stopped (SIGTERM), exits, and is
+  // restarted before the next one is stopped. No job may be cut off, refused, lost or run twice.
   // The load needs 6.4 slots on average, of the 8 that are left while one of the 3 agents is replaced.
   const trial = await Trial.begin()
   t.after(() => trial.end())
--- a/packages/trials/test/seeds.test.ts
+++ b/packages/trials/test/seeds.test.ts
@@ -11,9 +11,9 @@
 
 for (const outage of [Outage.Refuse, Outage.Hang]) {
   test(`an agent that starts while the store is down finds the entries by its seeds (${outage})`, { timeout: TEST_TIMEOUT }, async t => {
-    // Every agent of a provider is restarted during an outage of the store. They cannot read who the
-    // entries are, so the provider would have no target until the store is back. One of the entries
-    // that their settings name tells them, and they take work as soon as every entry has answered.
+    // Every agent of a provider is restarted during a store outage. Without the store they can't read the
+    // list of entries, and the provider has no target until the store is back. The agents must get the list
+    // from an entry in the seeds of their settings, and accept work once every entry has answered.
     const trial = await Trial.begin({ shares: { 'provider-a': 0, 'provider-b': 100 } })
     t.after(() => trial.end())
     const restarted = trial.agent(2)
--- a/packages/trials/test/soakfaults.test.ts
+++ b/packages/trials/test/soakfaults.test.ts
@@ -8,11 +8,12 @@
 const processes = new ProcessGroup()
 after(() => processes.stop())
 
-// Seed 412 on a busy machine: SIGHUP struck an agent 400 ms after its start, before Node had come up. No
-// program can handle it then. The soak reported an agent that had ended by itself, without a log line.
-test('a process counts as hung up only once it handles the signal', async () => {
-  const young = processes.start({ name: 'young', script: 'none', nodeArguments: ['--eval', PROGRAM] })
-  expect(handlesSighup(young.pid)).toEqual(false)
-  const grown = await processes.launch({ name: 'grown', script: 'none', nodeArguments: ['--eval', PROGRAM], readyLine: line => line === 'up' })
-  expect(handlesSighup(grown.pid)).toEqual(true)
+// In seed 412 on a busy machine, an agent receives SIGHUP 400 ms after its start, before Node has started. No
+// program can handle the signal then, so without this check the soak test reports an agent that exited by itself,
+// without a log line.
+test('a process is reported to handle SIGHUP only once its handler is installed', async () => {
+  const justStarted = processes.start({ name: 'just-started', script: 'none', nodeArguments: ['--eval', PROGRAM] })
+  expect(handlesSighup(justStarted.pid)).toEqual(false)
+  const initialized = await processes.launch({ name: 'initialized', script: 'none', nodeArguments: ['--eval', PROGRAM], readyLine: line => line === 'up' })
+  expect(handlesSighup(initialized.pid)).toEqual(true)
 })
--- a/packages/trials/test/stops.test.ts
+++ b/packages/trials/test/stops.test.ts
@@ -9,10 +9,10 @@
 
 const LOAD = { rate: 20, seconds: 4, scale: 0.4, burstEvery: 0 }
 
-test('an entry that is stopped answers all it has and hands its ids over', { timeout: TEST_TIMEOUT }, async t => {
-  // Operators stop an entry under load (SIGTERM). It says at once that it is not ready, answers every
-  // job that it holds and ends by itself. A caller that submits one of its answered jobs again, to
-  // another entry, gets the same answer, and the job is not run again.
+test('an entry that is stopped answers all its jobs and hands its job ids over', { timeout: TEST_TIMEOUT }, async t => {
+  // An entry is stopped under load (SIGTERM). It must report at once that it is not ready, answer all its
+  // jobs and exit. A resubmission of an answered job through another entry must get the same answer, and
+  // the job must not run again.
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const ids = await trial.idsOwnedBy(trial.entry(1), 6, 'stopped')
@@ -38,9 +38,9 @@
   expect(trial.notComplete()).toEqual([])
 })
 
-test('an agent that is stopped finishes what runs and starts nothing more', { timeout: TEST_TIMEOUT }, async t => {
-  // Operators stop an agent under load (SIGTERM). Its target finishes what it runs, the answers are
-  // delivered, and the agent ends by itself; what waited there runs elsewhere. Callers notice nothing.
+test('an agent that is stopped finishes its running tasks and starts no more', { timeout: TEST_TIMEOUT }, async t => {
+  // An agent is stopped under load (SIGTERM). Its target must finish its running tasks, and the agent must
+  // deliver their results and exit. Its waiting tasks run elsewhere, and every job is completed.
   const trial = await Trial.begin()
   t.after(() => trial.end())
   const load = trial.load({ ...LOAD, seed: 8 })
@@ -48,12 +48,12 @@
 
   trial.agent(1).process?.signal('SIGTERM')
   await trial.agent(1).process?.ended
-  const ended = Date.now()
+  const endedAt = Date.now()
   await load
 
   expect(trial.agent(1).process?.exitCode).toEqual(0)
   const starts = (await trial.startsOfJobs(trial.records.map(record => record.submission.job))).filter(start => start.target === 'target-1')
-  expect(starts.filter(start => start.startedAt > ended || start.finishedAt === undefined)).toEqual([])
+  expect(starts.filter(start => start.startedAt > endedAt || start.finishedAt === undefined)).toEqual([])
   expect(starts.length).toBeGreaterThan(0)
   const report = await trial.audit()
   expect(report.faults).toEqual([])
@@ -66,10 +66,9 @@
 ]
 
 for (const { kind, name, drained } of DRAINS) {
-  test(`a drained ${kind} gets no new work and finishes what it has`, { timeout: TEST_TIMEOUT }, async t => {
-    // Operators take a part of the fleet out of service under load. Once every instance has confirmed
-    // the order, and the agents' queues of that moment have run, nothing starts there; what had started
-    // is finished and answered.
+  test(`a drained ${kind} gets no new tasks and finishes those it has`, { timeout: TEST_TIMEOUT }, async t => {
+    // A target or a provider is drained under load. Once every instance has applied the drain, and the tasks
+    // queued at the agents by then have run, no task may start there. Started tasks are finished and answered.
     const trial = await Trial.begin()
     t.after(() => trial.end())
     const load = trial.load({ ...LOAD, seed: 9, seconds: 6 })
@@ -79,11 +78,11 @@
     await trial.waitUntilConfigured(2)
     const agent = trial.agent(Number(drained[0]?.split('-')[1]))
     await trial.waitUntil('the drained agent to be idle', async () => await isIdle(trial, agent))
-    const idle = Date.now()
+    const idleAt = Date.now()
     await load
 
     const starts = (await trial.startsOfJobs(trial.records.map(record => record.submission.job))).filter(start => drained.includes(start.target))
-    expect(starts.filter(start => start.startedAt > idle)).toEqual([])
+    expect(starts.filter(start => start.startedAt > idleAt)).toEqual([])
     expect(starts.length).toBeGreaterThan(0)
     const report = await trial.audit()
     expect(report.faults).toEqual([])
--- a/packages/trials/test/store.test.ts
+++ b/packages/trials/test/store.test.ts
@@ -12,10 +12,10 @@
 const LOAD = { rate: 15, seconds: 4, scale: 0.3, burstEvery: 0 }
 
 for (const outage of [Outage.Refuse, Outage.Hang, Outage.NoLeader]) {
-  test(`jobs go on while the store is down (${outage})`, { timeout: TEST_TIMEOUT }, async t => {
-    // The store goes away for longer than any agent trusts a confirmation of its view. Nobody has
-    // died, so every entry still answers every agent, and callers notice nothing. Then an entry is
-    // killed: the two others both find its address refusing, fence it, and serve its ids.
+  test(`jobs are served while the store is down (${outage})`, { timeout: TEST_TIMEOUT }, async t => {
+    // The store is down for longer than a confirmation of the view is valid for an agent. Every entry still
+    // responds to every agent, so all jobs must be completed. Then an entry is killed: the other two both
+    // find that its address refuses connections, and must fence it and serve its job ids.
     const trial = await Trial.begin()
     t.after(() => trial.end())
     const [id = ''] = await trial.idsOwnedBy(trial.entry(1), 1, 'outage')
@@ -47,8 +47,8 @@
 
 for (const { name, faults } of WRITE_FAULTS) {
   test(`an entry is replaced while ${name}`, { timeout: TEST_TIMEOUT }, async t => {
-    // An entry dies under load and a new one takes its place. The writes that change the view take
-    // effect, but their answers come late or never. Nothing is lost or doubled, and the new entry joins.
+    // An entry is killed under load and restarted. The writes that change the view take effect, but their
+    // answers arrive late or never. No job may be lost, no task run twice, and the new entry must join.
     const trial = await Trial.begin()
     t.after(() => trial.end())
     await trial.setStoreFaults(faults)
--- a/packages/trials/test/targetcuts.test.ts
+++ b/packages/trials/test/targetcuts.test.ts
@@ -12,8 +12,8 @@
 import { Trial } from '../src/trial.ts'
 
 test('a task whose call is reset may have run and is not started again', { timeout: TEST_TIMEOUT }, async t => {
-  // The connection of an agent to its target breaks while the target runs a task, and the target
-  // runs on. The caller is told that the job may have run, also when it submits it again.
+  // The connection from an agent to its target breaks while the target runs a task, and the target
+  // continues. The job and its resubmission must be answered with mayHaveRun.
   const trial = await Trial.begin({ relays: true, agents: 1, shares: { 'provider-a': 100 } })
   t.after(() => trial.end())
   const job = trial.caller.addJob(newJob('reset', { run: 800 }))
@@ -32,9 +32,9 @@
   expect(report.starts).toEqual(1)
 })
 
-test('a target that cannot be reached starts nothing and its tasks run elsewhere', { timeout: TEST_TIMEOUT }, async t => {
-  // Connections to one target are reset before anything is sent. Nothing started there for certain,
-  // so the tasks go to the other targets, and the caller gets a whole answer.
+test('an unreachable target starts nothing and its tasks run elsewhere', { timeout: TEST_TIMEOUT }, async t => {
+  // Connections to one target are reset before any data is sent, so no task can have started there. The
+  // tasks must go to the other targets, and every job must be answered with complete or mayHaveRun.
   const trial = await Trial.begin({ relays: true })
   t.after(() => trial.end())
   trial.fleet.link(LinkKind.Target, 'agent-2').cut()
@@ -45,12 +45,12 @@
 
   const report = await trial.audit()
   expect(report.faults).toEqual([])
-  expect(answers.map(answerOf).filter(text => !/complete|mayHaveRun/.test(text))).toEqual([])
+  expect(answers.map(describeAnswer).filter(text => !/complete|mayHaveRun/.test(text))).toEqual([])
 })
 
-test('a silent target delays its tasks and loses none', { timeout: TEST_TIMEOUT }, async t => {
-  // Nothing passes between an agent and its target for a while, as when a switch restarts. The answer
-  // comes when the link is back, and is the answer to that task.
+test('an unresponsive target delays its tasks and loses none', { timeout: TEST_TIMEOUT }, async t => {
+  // No data arrives from a target at its agent for a while, as when a switch restarts. When the link is
+  // restored, the results must arrive, each for its own task.
   const trial = await Trial.begin({ relays: true, agents: 1, shares: { 'provider-a': 100 } })
   t.after(() => trial.end())
   const job = trial.caller.addJob(newJob('silent', { tasks: 6, run: 100 }))
@@ -69,6 +69,6 @@
   expect(report.starts).toEqual(6)
 })
 
-function answerOf ({ answer }: Attempt): string {
+function describeAnswer ({ answer }: Attempt): string {
   return `${answer?.kind} ${answer?.cause} ${answer?.detail}`
 }
