--- a/packages/trials/test/seeds.test.ts
+++ b/packages/trials/test/seeds.test.ts
@@ -11,9 +11,9 @@
 
 for (const outage of [Outage.Refuse, Outage.Hang]) {
   test(`an agent that starts while the store is down finds the entries by its seeds (${outage})`, { timeout: TEST_TIMEOUT }, async t => {
-    // Every agent of a provider is restarted during an outage of the store. They cannot read who the
-    // entries are, so the provider would have no target until the store is back. One of the entries
-    // that their settings name tells them, and they take work as soon as every entry has answered.
+    // Every agent of a provider is restarted during a store outage. Without the store they can't read the
+    // list of entries, and the provider has no target until the store is back. The agents must get the list
+    // from an entry in the seeds of their settings, and accept work once every entry has answered.
     const trial = await Trial.begin({ shares: { 'provider-a': 0, 'provider-b': 100 } })
     t.after(() => trial.end())
     const restarted = trial.agent(2)
@@ -22,15 +22,15 @@
     await writeFile(restarted.settingsFile, JSON.stringify({ ...settings, seeds: ['http://127.0.0.1:1', entry.peers.address] }))
 
     await trial.fleet.killDaemon(restarted)
-    await trial.storeFaults({ outage })
+    await trial.setStoreFaults({ outage })
     await trial.fleet.startDaemon(restarted)
-    await trial.untilReady([restarted])
-    await trial.untilConfigured(1)
+    await trial.waitUntilReady([restarted])
+    await trial.waitUntilConfigured(1)
     await trial.load({ ...LOAD, prefix: 'outage' })
 
-    const starts = await trial.startsOf(trial.records.map(record => record.submission.job))
+    const starts = await trial.startsOfJobs(trial.records.map(record => record.submission.job))
     expect([...new Set(starts.map(({ target }) => target))]).toEqual(['target-2'])
-    const report = await trial.judge()
+    const report = await trial.audit()
     expect(report.faults).toEqual([])
     expect(trial.notComplete()).toEqual([])
   })
