--- a/packages/bench/src/convergencemodel.ts
+++ b/packages/bench/src/convergencemodel.ts
@@ -1,10 +1,12 @@
 /**
- * How a new configuration spreads: the real `ConfigurationAdoption` at every entry, links with the
- * latencies of the brief, a store with a watch and a poll, virtual time. An agent only keeps the
- * highest version that it was told, as the real one does: agents get no document.
+ * Simulates how a new configuration spreads through a fleet. Every entry runs the real
+ * `ConfigurationAdoption`; links have random latencies, the store supports a watch and polling, and
+ * time is virtual. An agent keeps only the highest version that it has received, as the real one
+ * does: agents receive no document.
  *
- * Left out: processor time, and traffic other than documents and heartbeats. Task traffic states
- * versions more often than heartbeats do, so a fleet under load learns sooner who is behind.
+ * Processor time and traffic other than documents and heartbeats are left out. Task messages carry
+ * versions too and are more frequent than heartbeats, so a real fleet under load detects sooner
+ * which instances are behind.
  */
 import type { AdoptionOptions, PeerChoice, VersionedDocument } from '@amaranthmast/coordination/adoption'
 import { ConfigurationAdoption, Responsibility } from '@amaranthmast/coordination/adoption'
@@ -15,89 +17,90 @@
 import { EventLoop } from './eventloop.ts'
 import { logUniform, seededRandom } from './random.ts'
 
-/** What goes wrong around the write. */
+/** Failure that is injected around the write of the configuration. */
 export enum Disturbance {
   /** Nothing: every watch reports the write. */
   None = 'none',
   /** One entry's watch misses the write. */
   OneWatchMissed = 'oneWatchMissed',
-  /** Every watch misses the write: the poll finds it. */
+  /** Every watch misses the write, so that entries find it by polling. */
   AllWatchesMissed = 'allWatchesMissed',
-  /** The store takes a second for every event, and reads run into their time limit. */
+  /** The store delivers every event a second late, and reads time out. */
   StoreSlow = 'storeSlow',
-  /** Events are late by 0 to 1 s, each by another time. */
+  /** Events are late by 0 to 1 s, each by a different time. */
   StoreUneven = 'storeUneven',
-  /** The store goes down when one entry alone has the new version. */
+  /** The store goes down when only one entry has the new version. */
   Outage = 'outage',
-  /** One agent is cut off for 1 s from the instant of the write. */
+  /** One agent is disconnected for 1 s from the instant of the write. */
   AgentCutOff = 'agentCutOff',
-  /** As `Outage`; a second after the write an agent and an entry come up and reach their peers. */
+  /** As `Outage`; a second after the write, an agent and an entry start and connect to their peers. */
   StartsInOutage = 'startsInOutage',
-  /** Nothing at the write; a second later the links of one entry to the others are reset. */
+  /** A second after the write, the links of one entry to the others are reset. */
   LinksReset = 'linksReset'
 }
 
-/** One run. */
+/** Options of one simulation. */
 export interface ConvergenceOptions {
   entries: number
   agents: number
   disturbance: Disturbance
   choice: PeerChoice
-  /** Peers drawn in one round of random choice. @default 1 */
+  /** Number of peers drawn in one round of random choice. @default 1 */
   roundPeers?: number
-  /** Whether an entry sends to the other entries at once, after the grace or after the patience. @default Responsibility.Watcher */
+  /** Responsibility of an entry for the other entries, which decides how long it waits before it sends. @default Responsibility.Watcher */
   entryPeers?: Responsibility
   documentBytes: number
   seed: number
-  /** Makes the adoption of one entry. @default the real one */
+  /** Creates the adoption of one entry. @default the real one */
   makeAdoption?: (options: AdoptionOptions) => ConfigurationAdoption
 }
 
-/** What a run yields. */
+/** Result of one simulation. */
 export interface ConvergenceResult {
-  /** For each instance that got it, the time from the write, or from its start when that is later. */
+  /** Time until the new version is in force at each instance that adopted it, in milliseconds from the write or from the instance's start, whichever is later. */
   inForce: number[]
-  /** Instances that did not get it within the limit. */
+  /** Number of instances that did not adopt it within the time limit. */
   unfinished: number
-  /** Documents sent to entries, and versions told to agents. */
+  /** Number of documents sent to entries and versions sent to agents. */
   documents: number
   bytes: number
-  /** Documents that reached an instance which had that version already. */
+  /** Number of documents received by an instance that already had the version. */
   useless: number
-  /** How often an instance went back to an older version. */
+  /** How often an instance reverted to an older version. */
   backwards: number
 }
 
-/** A run ends here at the latest, in milliseconds after the write. */
-const LIMIT = 6_000
+/** Time limit of a run after the write, in milliseconds. */
+const MAX_RUN_MILLISECONDS = 6_000
 const WRITE_AT = 1_000
-const STARTS_AFTER = 1_000
-const CUT = 1_000
-const SLOW = 1_000
-const TICK = 50
-/** Interval of a watcher's reads, and by which part it varies. */
-const POLL = CONFIGURATION_POLL_MILLISECONDS
-const POLL_LEAST_PART = 0.75
-const POLL_SPREAD = 0.5
-const LEG = { low: 0.5, high: 5 }
-const STORE_ANSWER = { low: 2, high: 10 }
-/** Bytes that leave one process in a millisecond: 1 Gbit/s. */
+/** Delay from the write to late starts and link resets, in milliseconds. */
+const LATE_EVENT_DELAY = 1_000
+const PARTITION_MILLISECONDS = 1_000
+const MAX_STORE_DELAY = 1_000
+const TICK_MILLISECONDS = 50
+/** Mean interval of polling, and the range of its jitter: 0.75 to 1.25 of the mean. */
+const POLL_MILLISECONDS = CONFIGURATION_POLL_MILLISECONDS
+const POLL_MIN_FRACTION = 0.75
+const POLL_JITTER_FRACTION = 0.5
+const NETWORK_LATENCY = { low: 0.5, high: 5 }
+const STORE_LATENCY = { low: 2, high: 10 }
+/** Bandwidth of one process's outgoing link: 1 Gbit/s. */
 const BYTES_PER_MILLISECOND = 125_000
-/** Waits of a sender whose packets get lost, in milliseconds: TCP doubles the first one. */
+/** Times after the first transmission at which a lost packet is retransmitted, in milliseconds; the interval doubles, as in TCP. */
 const RETRANSMISSIONS = [200, 600, 1_400, 3_000]
 
-/** Bytes of the message that tells an agent of a version, as the codec writes it. */
+/** Encoded size of the message that sends a version to an agent. */
 const VERSION_BYTES = 7
 
-const OLD = 1
-const NEW = 2
+const OLD_VERSION = 1
+const NEW_VERSION = 2
 
 interface ModelEntry {
   name: string
   index: number
   adoption: ConfigurationAdoption
   version: number
-  /** Until when earlier documents occupy the way out. */
+  /** Instant until which earlier documents occupy the outgoing link. */
   sendingUntil: number
   up: boolean
 }
@@ -109,7 +112,7 @@
   cut: boolean
 }
 
-/** Runs one change of the configuration through a fleet. */
+/** Simulates one configuration change in a fleet. */
 export function runConvergence (options: ConvergenceOptions): ConvergenceResult {
   return new ConvergenceModel(options).run()
 }
@@ -120,94 +123,94 @@
   readonly #random: () => number
   readonly #entries: ModelEntry[]
   readonly #agents: ModelAgent[]
-  readonly #byName = new Map<string, ModelEntry | ModelAgent>()
+  readonly #instances = new Map<string, ModelEntry | ModelAgent>()
   readonly #inForceAt = new Map<string, number>()
   readonly #startedAt = new Map<string, number>()
   #documents = 0
   #bytes = 0
-  #useless = 0
-  #backwards = 0
-  #settled = false
+  #redundantDocuments = 0
+  #regressions = 0
+  #converged = false
 
   constructor (options: ConvergenceOptions) {
     this.#options = options
     this.#random = seededRandom(options.seed)
-    this.#entries = Array.from({ length: options.entries }, (_, index) => this.#newEntry(index))
-    this.#agents = Array.from({ length: options.agents }, (_, index) => ({ name: `agent-${index}#1`, version: OLD, startedAt: 0, cut: false }))
-    for (const instance of [...this.#entries, ...this.#agents]) this.#byName.set(instance.name, instance)
+    this.#entries = Array.from({ length: options.entries }, (_, index) => this.#createEntry(index))
+    this.#agents = Array.from({ length: options.agents }, (_, index) => ({ name: `agent-${index}#1`, version: OLD_VERSION, startedAt: 0, cut: false }))
+    for (const instance of [...this.#entries, ...this.#agents]) this.#instances.set(instance.name, instance)
   }
 
   run (): ConvergenceResult {
-    this.#prepareStarters()
+    this.#scheduleLateStarts()
     this.#connectAll()
-    this.#beat()
-    this.#loop.at(WRITE_AT, () => this.#write())
-    for (let until = WRITE_AT; !this.#settled && until <= WRITE_AT + LIMIT; until += TICK) {
+    this.#scheduleHeartbeats()
+    this.#loop.at(WRITE_AT, () => this.#writeConfiguration())
+    for (let until = WRITE_AT; !this.#converged && until <= WRITE_AT + MAX_RUN_MILLISECONDS; until += TICK_MILLISECONDS) {
       this.#loop.run(until)
-      this.#settled = this.#allDone()
+      this.#converged = this.#hasConverged()
     }
     return this.#result()
   }
 
-  #newEntry (index: number): ModelEntry {
-    const adoption = this.#newAdoption()
-    adoption.offer(documentOf(OLD), 0)
-    return { name: `entry-${index}#1`, index, adoption, version: OLD, sendingUntil: 0, up: true }
+  #createEntry (index: number): ModelEntry {
+    const adoption = this.#createAdoption()
+    adoption.offer(documentOf(OLD_VERSION), 0)
+    return { name: `entry-${index}#1`, index, adoption, version: OLD_VERSION, sendingUntil: 0, up: true }
   }
 
   get #members (): Member[] {
     return this.#entries.filter(({ up }) => up).map(({ name }) => ({ instance: name, address: '', dataCentre: '', leaving: false }))
   }
 
-  /** One agent and one entry that are not there yet. */
-  #prepareStarters (): void {
+  /** Adds one agent and one entry that start later. */
+  #scheduleLateStarts (): void {
     if (this.#options.disturbance !== Disturbance.StartsInOutage) return
-    const entry = this.#newEntry(this.#entries.length)
-    Object.assign(entry, { up: false, version: 0, adoption: this.#newAdoption() })
+    const entry = this.#createEntry(this.#entries.length)
+    Object.assign(entry, { up: false, version: 0, adoption: this.#createAdoption() })
     const agent: ModelAgent = { name: 'agent-late#1', version: 0, startedAt: Number.POSITIVE_INFINITY, cut: false }
     this.#entries.push(entry)
     this.#agents.push(agent)
     for (const instance of [entry, agent]) {
-      this.#byName.set(instance.name, instance)
-      this.#startedAt.set(instance.name, WRITE_AT + STARTS_AFTER)
+      this.#instances.set(instance.name, instance)
+      this.#startedAt.set(instance.name, WRITE_AT + LATE_EVENT_DELAY)
     }
-    this.#loop.at(WRITE_AT + STARTS_AFTER, () => this.#startLate(entry, agent))
+    this.#loop.at(WRITE_AT + LATE_EVENT_DELAY, () => this.#startLateInstances(entry, agent))
   }
 
-  #newAdoption (): ConfigurationAdoption {
+  #createAdoption (): ConfigurationAdoption {
     const { choice, roundPeers, makeAdoption } = this.#options
     const options = { choice, random: this.#random, ...(roundPeers === undefined ? {} : { roundPeers }) }
     return makeAdoption?.(options) ?? new ConfigurationAdoption(options)
   }
 
-  #startLate (entry: ModelEntry, agent: ModelAgent): void {
+  #startLateInstances (entry: ModelEntry, agent: ModelAgent): void {
     entry.up = true
     agent.startedAt = this.#loop.now
     for (const other of this.#entries) {
-      if (other !== entry) this.#linkEntries(other, entry)
+      if (other !== entry) this.#connectEntries(other, entry)
       other.adoption.connected(agent.name, agent.version, this.#responsibility(other, agent.name), this.#loop.now)
-      this.#sendDue(other)
+      this.#sendDueDocuments(other)
     }
   }
 
-  /** A new link: each end takes the other's version as unknown until its greeting has come. */
-  #linkEntries (one: ModelEntry, other: ModelEntry): void {
+  /** Opens a link. The version of the other end is unknown until its greeting arrives. */
+  #connectEntries (one: ModelEntry, other: ModelEntry): void {
     for (const [from, to] of [[one, other], [other, one]] as const) {
       from.adoption.connected(to.name, undefined, this.#responsibility(from, to.name), this.#loop.now)
       const version = from.version
-      this.#loop.after(this.#leg(), () => to.adoption.stated(from.name, version))
+      this.#loop.after(this.#networkLatency(), () => to.adoption.stated(from.name, version))
     }
-    this.#sendDue(one)
-    this.#sendDue(other)
+    this.#sendDueDocuments(one)
+    this.#sendDueDocuments(other)
   }
 
   #connectAll (): void {
     for (const entry of this.#entries.filter(({ up }) => up)) {
       for (const peer of this.#entries) {
-        if (peer !== entry && peer.up) entry.adoption.connected(peer.name, OLD, this.#responsibility(entry, peer.name), 0)
+        if (peer !== entry && peer.up) entry.adoption.connected(peer.name, OLD_VERSION, this.#responsibility(entry, peer.name), 0)
       }
       for (const agent of this.#agents) {
-        if (agent.startedAt === 0) entry.adoption.connected(agent.name, OLD, this.#responsibility(entry, agent.name), 0)
+        if (agent.startedAt === 0) entry.adoption.connected(agent.name, OLD_VERSION, this.#responsibility(entry, agent.name), 0)
       }
     }
   }
@@ -217,43 +220,43 @@
     return ownerOf(peer, this.#members) === entry.name ? Responsibility.Own : Responsibility.Other
   }
 
-  /** Heartbeats of every instance to all its peers, and the entries' ticks. */
-  #beat (): void {
+  /** Schedules the heartbeats of every instance to all its peers, and the ticks of the entries. */
+  #scheduleHeartbeats (): void {
     const { heartbeat } = DEFAULT_TIMINGS
     for (const instance of [...this.#entries, ...this.#agents]) {
-      this.#every(heartbeat, this.#random() * heartbeat, () => this.#heartbeat(instance))
+      this.#repeat(heartbeat, this.#random() * heartbeat, () => this.#sendHeartbeat(instance))
     }
-    for (const entry of this.#entries) this.#every(TICK, this.#random() * TICK, () => this.#sendDue(entry))
+    for (const entry of this.#entries) this.#repeat(TICK_MILLISECONDS, this.#random() * TICK_MILLISECONDS, () => this.#sendDueDocuments(entry))
   }
 
-  #every (interval: number, phase: number, run: () => void): void {
+  #repeat (interval: number, phase: number, run: () => void): void {
     this.#loop.at(phase, () => {
       run()
-      this.#every(interval, phase + interval, run)
+      this.#repeat(interval, phase + interval, run)
     })
   }
 
-  #heartbeat (from: ModelEntry | ModelAgent): void {
+  #sendHeartbeat (from: ModelEntry | ModelAgent): void {
     if ('up' in from ? !from.up : from.startedAt > this.#loop.now) return
     const version = from.version
-    this.#loop.at(this.#arrival(this.#loop.now, from), () => {
+    this.#loop.at(this.#arrivalTime(this.#loop.now, from), () => {
       for (const entry of this.#entries) if (entry !== from && entry.up) entry.adoption.stated(from.name, version)
     })
   }
 
-  #write (): void {
-    if (this.#options.disturbance === Disturbance.AgentCutOff) this.#cutOff(this.#agents[0] as ModelAgent)
-    if (this.#options.disturbance === Disturbance.LinksReset) this.#loop.after(STARTS_AFTER, () => this.#resetLinks())
+  #writeConfiguration (): void {
+    if (this.#options.disturbance === Disturbance.AgentCutOff) this.#disconnectAgent(this.#agents[0] as ModelAgent)
+    if (this.#options.disturbance === Disturbance.LinksReset) this.#loop.after(LATE_EVENT_DELAY, () => this.#resetLinks())
     for (const entry of this.#entries.filter(({ up }) => up)) {
-      const delay = this.#storeDelay(entry)
-      if (delay !== undefined) this.#loop.after(delay, () => this.#offer(entry, NEW))
-      this.#readStale(entry)
+      const delay = this.#storeNotificationDelay(entry)
+      if (delay !== undefined) this.#loop.after(delay, () => this.#offer(entry, NEW_VERSION))
+      this.#scheduleStaleRead(entry)
     }
   }
 
-  #cutOff (agent: ModelAgent): void {
+  #disconnectAgent (agent: ModelAgent): void {
     agent.cut = true
-    this.#loop.after(CUT, () => { agent.cut = false })
+    this.#loop.after(PARTITION_MILLISECONDS, () => { agent.cut = false })
   }
 
   #resetLinks (): void {
@@ -261,46 +264,46 @@
     for (const other of this.#entries.slice(1)) {
       entry.adoption.disconnected(other.name)
       other.adoption.disconnected(entry.name)
-      this.#linkEntries(entry, other)
+      this.#connectEntries(entry, other)
     }
   }
 
-  /** When the store tells an entry of the write; undefined when it never does. */
-  #storeDelay (entry: ModelEntry): number | undefined {
-    const answer = logUniform(this.#random, STORE_ANSWER.low, STORE_ANSWER.high)
-    const period = POLL * (POLL_LEAST_PART + POLL_SPREAD * this.#random())
-    const polled = this.#random() * period + answer
+  /** Delay until an entry receives the write from the store, by its watch or by polling; undefined when it never does. */
+  #storeNotificationDelay (entry: ModelEntry): number | undefined {
+    const latency = logUniform(this.#random, STORE_LATENCY.low, STORE_LATENCY.high)
+    const period = POLL_MILLISECONDS * (POLL_MIN_FRACTION + POLL_JITTER_FRACTION * this.#random())
+    const polledAfter = this.#random() * period + latency
     switch (this.#options.disturbance) {
-      case Disturbance.OneWatchMissed: return entry.index === 0 ? polled : answer
-      case Disturbance.AllWatchesMissed: return polled
-      case Disturbance.StoreSlow: return answer + SLOW
-      case Disturbance.StoreUneven: return answer + SLOW * this.#random()
+      case Disturbance.OneWatchMissed: return entry.index === 0 ? polledAfter : latency
+      case Disturbance.AllWatchesMissed: return polledAfter
+      case Disturbance.StoreSlow: return latency + MAX_STORE_DELAY
+      case Disturbance.StoreUneven: return latency + MAX_STORE_DELAY * this.#random()
       case Disturbance.Outage:
-      case Disturbance.StartsInOutage: return entry.index === 0 ? answer : undefined
-      default: return answer
+      case Disturbance.StartsInOutage: return entry.index === 0 ? latency : undefined
+      default: return latency
     }
   }
 
-  /** A replica of the store that lags answers a read after the write with the version before it. */
-  #readStale (entry: ModelEntry): void {
-    this.#loop.after(this.#random() * SLOW, () => this.#offer(entry, OLD))
+  /** Schedules a read that a lagging replica of the store answers with the version before the write. */
+  #scheduleStaleRead (entry: ModelEntry): void {
+    this.#loop.after(this.#random() * MAX_STORE_DELAY, () => this.#offer(entry, OLD_VERSION))
   }
 
   #offer (entry: ModelEntry, version: number): void {
-    if (entry.adoption.offer(documentOf(version), this.#loop.now)) this.#adopted(entry, entry.adoption.inForce.version)
-    this.#sendDue(entry)
+    if (entry.adoption.offer(documentOf(version), this.#loop.now)) this.#recordAdoption(entry, entry.adoption.inForce.version)
+    this.#sendDueDocuments(entry)
   }
 
-  #adopted (instance: ModelEntry | ModelAgent, version: number): void {
-    if (version < instance.version) this.#backwards += 1
+  #recordAdoption (instance: ModelEntry | ModelAgent, version: number): void {
+    if (version < instance.version) this.#regressions += 1
     instance.version = version
-    if ('adoption' in instance) this.#heartbeat(instance)
-    if (version === NEW && !this.#inForceAt.has(instance.name)) this.#inForceAt.set(instance.name, this.#loop.now)
+    if ('adoption' in instance) this.#sendHeartbeat(instance)
+    if (version === NEW_VERSION && !this.#inForceAt.has(instance.name)) this.#inForceAt.set(instance.name, this.#loop.now)
   }
 
-  #sendDue (entry: ModelEntry): void {
+  #sendDueDocuments (entry: ModelEntry): void {
     if (!entry.up) return
-    for (const peer of entry.adoption.due(this.#loop.now)) this.#sendDocument(entry, this.#byName.get(peer) as ModelEntry | ModelAgent)
+    for (const peer of entry.adoption.due(this.#loop.now)) this.#sendDocument(entry, this.#instances.get(peer) as ModelEntry | ModelAgent)
   }
 
   #sendDocument (from: ModelEntry, to: ModelEntry | ModelAgent): void {
@@ -309,35 +312,35 @@
     this.#documents += 1
     this.#bytes += bytes
     from.sendingUntil = Math.max(from.sendingUntil, this.#loop.now) + bytes / BYTES_PER_MILLISECOND
-    this.#loop.at(this.#arrival(from.sendingUntil, to), () => this.#receive(to, version))
+    this.#loop.at(this.#arrivalTime(from.sendingUntil, to), () => this.#receive(to, version))
   }
 
   #receive (instance: ModelEntry | ModelAgent, version: number): void {
     if (version <= instance.version) {
-      this.#useless += 1
+      this.#redundantDocuments += 1
       return
     }
     if ('adoption' in instance) this.#offer(instance, version)
-    else this.#adopted(instance, version)
+    else this.#recordAdoption(instance, version)
   }
 
-  #leg (): number {
-    return logUniform(this.#random, LEG.low, LEG.high)
+  #networkLatency (): number {
+    return logUniform(this.#random, NETWORK_LATENCY.low, NETWORK_LATENCY.high)
   }
 
-  /** When a packet arrives that is sent at the instant to or from an instance: lost ones are sent again. */
-  #arrival (sentAt: number, instance: ModelEntry | ModelAgent): number {
-    if (!('cut' in instance) || !instance.cut) return sentAt + this.#leg()
-    const end = WRITE_AT + CUT
-    const attempt = RETRANSMISSIONS.map(wait => sentAt + wait).find(instant => instant >= end)
-    return (attempt ?? end) + this.#leg()
+  /** Arrival time of a packet sent to or from an instance. Packets lost while it is disconnected are retransmitted. */
+  #arrivalTime (sentAt: number, instance: ModelEntry | ModelAgent): number {
+    if (!('cut' in instance) || !instance.cut) return sentAt + this.#networkLatency()
+    const end = WRITE_AT + PARTITION_MILLISECONDS
+    const retryAt = RETRANSMISSIONS.map(wait => sentAt + wait).find(instant => instant >= end)
+    return (retryAt ?? end) + this.#networkLatency()
   }
 
-  /** Everyone has it and no entry believes that someone has not. */
-  #allDone (): boolean {
-    const late = this.#options.disturbance === Disturbance.StartsInOutage || this.#options.disturbance === Disturbance.LinksReset
-    if (late && this.#loop.now < WRITE_AT + STARTS_AFTER + CUT) return false
-    if (this.#inForceAt.size < this.#byName.size) return false
+  /** Whether every instance has the new version and no entry records a peer as behind. */
+  #hasConverged (): boolean {
+    const hasLateEvent = this.#options.disturbance === Disturbance.StartsInOutage || this.#options.disturbance === Disturbance.LinksReset
+    if (hasLateEvent && this.#loop.now < WRITE_AT + LATE_EVENT_DELAY + PARTITION_MILLISECONDS) return false
+    if (this.#inForceAt.size < this.#instances.size) return false
     return this.#entries.every(entry => entry.adoption.behind().length === 0)
   }
 
@@ -345,11 +348,11 @@
     const inForce = [...this.#inForceAt].map(([name, at]) => at - (this.#startedAt.get(name) ?? WRITE_AT))
     return {
       inForce,
-      unfinished: this.#byName.size - inForce.length,
+      unfinished: this.#instances.size - inForce.length,
       documents: this.#documents,
       bytes: this.#bytes,
-      useless: this.#useless,
-      backwards: this.#backwards
+      useless: this.#redundantDocuments,
+      backwards: this.#regressions
     }
   }
 }
--- a/packages/bench/src/convergencereports.ts
+++ b/packages/bench/src/convergencereports.ts
@@ -1,6 +1,6 @@
 /**
- * What it costs when agents report to every entry, and to some: messages, bytes and connections of
- * one agent and one entry, from the sizes of the real messages as the codec makes them.
+ * Cost of agents' reports to all or some entries: messages, bytes and connections of one agent and
+ * one entry, calculated from the encoded sizes of the real messages.
  */
 import type { AgentToEntry, EntryToAgent, PeerMessage } from '@amaranthmast/coordination/messages'
 import { agentFrame, entryFrame, peerFrame } from '@amaranthmast/protocol/codec'
@@ -9,26 +9,26 @@
 import { rounded } from './measures.ts'
 import type { Row } from './sectiontypes.ts'
 
-/** Budget of a node for control, in bytes a second, and of a worker in connections. */
-const BUDGET = 5_000
-const CONNECTIONS = 64
-/** Connections of an agent that are not to entries: its target, and the store at times. */
+/** Budget of a node for control traffic, in bytes per second, and of a worker for connections. */
+const MAX_BYTES_PER_SECOND = 5_000
+const MAX_CONNECTIONS = 64
+/** Connections of an agent other than to entries: to its target and, at times, to the store. */
 const OTHER_CONNECTIONS = 3
-/** Envelope of a message on a stream, and header of the HTTP/2 frame that holds it. */
-const FRAMING = 5 + 9
-/** Headers of TCP with its time stamps and of IP. */
-const PACKET = 32 + 20
-const SENT = 123_456_789.5
+/** Envelope of a message on a stream, and header of its HTTP/2 frame. */
+const FRAMING_BYTES = 5 + 9
+/** Headers of TCP with timestamps, and of IP. */
+const PACKET_HEADER_BYTES = 32 + 20
+const SAMPLE_TIMESTAMP = 123_456_789.5
 
 const FLEETS = [
   { agents: 11, entries: [3] },
   { agents: 1_100, entries: [12, 24] }
 ]
-const SUBSETS = [1, 2, 3, Number.POSITIVE_INFINITY]
-/** Heartbeats of agents, and those between entries, in milliseconds. */
-const INTERVALS = [{ interval: 400, peerInterval: 400 }, { interval: 1_000, peerInterval: 1_000 }, { interval: 5_000, peerInterval: 1_000 }, { interval: 10_000, peerInterval: 2_000 }]
+const REPORTED_ENTRIES = [1, 2, 3, Number.POSITIVE_INFINITY]
+/** Intervals of agents' heartbeats and of heartbeats between entries, in milliseconds. */
+const HEARTBEAT_INTERVALS = [{ interval: 400, peerInterval: 400 }, { interval: 1_000, peerInterval: 1_000 }, { interval: 5_000, peerInterval: 1_000 }, { interval: 10_000, peerInterval: 2_000 }]
 
-/** Bytes of the messages of a heartbeat, without and with what carries them. */
+/** Encoded sizes in bytes of heartbeat messages, without framing. */
 export interface MessageSizes {
   heartbeat: number
   reply: number
@@ -36,12 +36,12 @@
   peerHeartbeat: number
 }
 
-/** Sizes as the codec makes them, one message in a frame. */
+/** Returns the encoded sizes of the messages, with one message per frame. */
 export function messageSizes (): MessageSizes {
-  const heartbeat: AgentToEntry = { case: 'heartbeat', value: { sent: SENT, viewVersion: 1_000, configurationVersion: 1_000 } }
-  const reply: EntryToAgent = { case: 'heartbeatReply', value: { sent: SENT, viewVersion: 1_000, confirmedAgeMilliseconds: 512.25 } }
+  const heartbeat: AgentToEntry = { case: 'heartbeat', value: { sent: SAMPLE_TIMESTAMP, viewVersion: 1_000, configurationVersion: 1_000 } }
+  const reply: EntryToAgent = { case: 'heartbeatReply', value: { sent: SAMPLE_TIMESTAMP, viewVersion: 1_000, confirmedAgeMilliseconds: 512.25 } }
   const report: AgentToEntry = { case: 'report', value: { running: 6, queued: 2, credit: 12, leaving: false, viewVersion: 1_000, configurationVersion: 1_000 } }
-  const peerHeartbeat: PeerMessage = { case: 'heartbeat', value: { sent: SENT, viewVersion: 1_000, configurationVersion: 1_000 } }
+  const peerHeartbeat: PeerMessage = { case: 'heartbeat', value: { sent: SAMPLE_TIMESTAMP, viewVersion: 1_000, configurationVersion: 1_000 } }
   return {
     heartbeat: toBinary(AgentFrameSchema, agentFrame([heartbeat])).length,
     reply: toBinary(EntryFrameSchema, entryFrame([reply])).length,
@@ -53,12 +53,12 @@
 /** One row per fleet, number of entries that an agent reports to, and interval of heartbeats. */
 export function measureReports (): Row[] {
   return FLEETS.flatMap(({ agents, entries }) => entries.flatMap(count =>
-    SUBSETS.filter(subset => subset < count || subset === Number.POSITIVE_INFINITY).flatMap(subset =>
-      INTERVALS.map(intervals => reportsOf({ agents, entries: count, subset: Math.min(subset, count), ...intervals })))))
+    REPORTED_ENTRIES.filter(subset => subset < count || subset === Number.POSITIVE_INFINITY).flatMap(subset =>
+      HEARTBEAT_INTERVALS.map(intervals => reportTraffic({ agents, entries: count, subset: Math.min(subset, count), ...intervals })))))
 }
 
-/** A fleet in which every agent reports to some entries. */
-export interface Reporting {
+/** A fleet in which every agent reports to `subset` entries. */
+export interface ReportingOptions {
   agents: number
   entries: number
   subset: number
@@ -69,18 +69,19 @@
 }
 
 /**
- * Figures of one agent and one entry, in both directions together. An exchange is a heartbeat, its
- * reply, and the bare acknowledgement of the reply; the reply acknowledges the heartbeat.
+ * Calculates the traffic of one agent and one entry, both directions added up. An exchange consists
+ * of a heartbeat, its reply, which also acknowledges the heartbeat, and the bare acknowledgement of
+ * the reply.
  */
-export function reportsOf ({ agents, entries, subset, interval, peerInterval }: Reporting): Row {
+export function reportTraffic ({ agents, entries, subset, interval, peerInterval }: ReportingOptions): Row {
   const { heartbeat, reply, peerHeartbeat } = messageSizes()
-  const payload = heartbeat + reply + 2 * FRAMING
-  const exchange = payload + 3 * PACKET
+  const payload = heartbeat + reply + 2 * FRAMING_BYTES
+  const exchange = payload + 3 * PACKET_HEADER_BYTES
   const exchangesOfAgent = subset * 1_000 / interval
   const agentsOfEntry = agents * subset / entries
   const exchangesOfEntry = agentsOfEntry * 1_000 / interval
   const peerMessages = 2 * (entries - 1) * 1_000 / peerInterval
-  const peerBytes = peerMessages * (peerHeartbeat + FRAMING + PACKET + PACKET / 2)
+  const peerBytes = peerMessages * (peerHeartbeat + FRAMING_BYTES + PACKET_HEADER_BYTES + PACKET_HEADER_BYTES / 2)
   const agentBytes = exchangesOfAgent * exchange
   const entryBytes = exchangesOfEntry * exchange + peerBytes
   return {
@@ -94,13 +95,13 @@
     entryConnections: rounded(agentsOfEntry + entries - 1, 0),
     entryMessages: rounded(2 * exchangesOfEntry + peerMessages, 1),
     entryBytes: rounded(entryBytes, 0),
-    entryBytesWithoutPackets: rounded(exchangesOfEntry * payload + peerMessages * (peerHeartbeat + FRAMING), 0),
-    fits: verdict(agentBytes, entryBytes, subset + OTHER_CONNECTIONS)
+    entryBytesWithoutPackets: rounded(exchangesOfEntry * payload + peerMessages * (peerHeartbeat + FRAMING_BYTES), 0),
+    fits: checkBudget(agentBytes, entryBytes, subset + OTHER_CONNECTIONS)
   }
 }
 
-function verdict (agentBytes: number, entryBytes: number, connections: number): string {
-  if (connections > CONNECTIONS) return 'no: connections'
-  if (agentBytes > BUDGET) return 'no: agent'
-  return entryBytes > BUDGET ? 'no: entry' : 'yes'
+function checkBudget (agentBytes: number, entryBytes: number, connections: number): string {
+  if (connections > MAX_CONNECTIONS) return 'no: connections'
+  if (agentBytes > MAX_BYTES_PER_SECOND) return 'no: agent'
+  return entryBytes > MAX_BYTES_PER_SECOND ? 'no: entry' : 'yes'
 }
--- a/packages/bench/src/convergencesection.ts
+++ b/packages/bench/src/convergencesection.ts
@@ -1,29 +1,29 @@
-/** Time, documents and useless documents of one change, by choice of the peers and by disturbance. */
+/** Propagation time, documents and redundant documents of one configuration change, by choice of peers and disturbance. */
 import { PeerChoice, Responsibility } from '@amaranthmast/coordination/adoption'
 import type { ConvergenceOptions } from './convergencemodel.ts'
 import { Disturbance, runConvergence } from './convergencemodel.ts'
 import { quantile, rounded } from './measures.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
-/** A fleet, the document that it has, and over how many seeds it is measured. */
+/** Size of a fleet and of its configuration, and the number of runs with different seeds. */
 interface FleetSize {
   entries: number
   agents: number
   documentBytes: number
   runs: number
-  /** Runs for random choice, which take long where it does not converge. */
+  /** Number of runs with random choice of peers, which are slow where they don't converge. */
   randomRuns: number
 }
 
-/** A way to choose the peers that are sent the document. */
-interface Choice {
+/** A policy for choosing the peers that a document is sent to. */
+interface PeerChoiceCase {
   name: string
   options: Pick<ConvergenceOptions, 'choice' | 'roundPeers' | 'entryPeers'>
 }
 
 /**
- * Bytes of a document as the store holds it, with 2 tenants and 2 services, and with 380 tenants
- * with quotas and 40 services of 2 providers each, all with short names.
+ * Size in bytes of a stored document with 2 tenants and 2 services, and with 380 tenants with quotas
+ * and 40 services of 2 providers each, all with short names.
  */
 const SMALL_DOCUMENT = 550
 const LARGE_DOCUMENT = 29_000
@@ -34,7 +34,7 @@
   { entries: 12, agents: 1_100, documentBytes: LARGE_DOCUMENT, runs: 10, randomRuns: 2 }
 ]
 
-const CHOICES: readonly Choice[] = [
+const PEER_CHOICES: readonly PeerChoiceCase[] = [
   { name: 'known behind', options: { choice: PeerChoice.KnownBehind } },
   { name: 'known behind, entries at once', options: { choice: PeerChoice.KnownBehind, entryPeers: Responsibility.Own } },
   { name: 'known behind, entries wait', options: { choice: PeerChoice.KnownBehind, entryPeers: Responsibility.Other } },
@@ -43,26 +43,26 @@
   { name: 'random 100', options: { choice: PeerChoice.Random, roundPeers: 100 } }
 ]
 
-/** One row per fleet, disturbance and choice. */
+/** One row per fleet, disturbance and choice of peers. */
 export function measureConvergence ({ seed }: SectionOptions): Row[] {
   return FLEETS.flatMap(fleet => Object.values(Disturbance).flatMap(disturbance =>
-    CHOICES.map(choice => measureChoice(fleet, disturbance, choice, seed))))
+    PEER_CHOICES.map(choice => measureChoice(fleet, disturbance, choice, seed))))
 }
 
-function measureChoice (fleet: FleetSize, disturbance: Disturbance, choice: Choice, seed: number): Row {
+function measureChoice (fleet: FleetSize, disturbance: Disturbance, choice: PeerChoiceCase, seed: number): Row {
   const { entries, agents, documentBytes } = fleet
   const runs = choice.options.choice === PeerChoice.Random ? fleet.randomRuns : fleet.runs
   const results = Array.from({ length: runs }, (_, run) =>
     runConvergence({ entries, agents, documentBytes, disturbance, seed: seed * 1_000 + run, ...choice.options }))
-  const wholes = results.map(({ inForce, unfinished }) => unfinished > 0 ? Number.POSITIVE_INFINITY : Math.max(...inForce))
+  const completionTimes = results.map(({ inForce, unfinished }) => unfinished > 0 ? Number.POSITIVE_INFINITY : Math.max(...inForce))
   const mean = (value: (result: typeof results[number]) => number) => results.reduce((sum, result) => sum + value(result), 0) / runs
   return {
     fleet: `${entries}/${agents}`,
     disturbance,
     choice: choice.name,
-    wholeP50: milliseconds(quantile(wholes, 0.5)),
-    wholeP99: milliseconds(quantile(wholes, 0.99)),
-    wholeWorst: milliseconds(Math.max(...wholes)),
+    wholeP50: formatMilliseconds(quantile(completionTimes, 0.5)),
+    wholeP99: formatMilliseconds(quantile(completionTimes, 0.99)),
+    wholeWorst: formatMilliseconds(Math.max(...completionTimes)),
     instanceP99: rounded(quantile(results.flatMap(({ inForce }) => inForce), 0.99), 0),
     unfinished: results.reduce((sum, { unfinished }) => sum + unfinished, 0),
     documents: rounded(mean(({ documents }) => documents), 1),
@@ -72,7 +72,7 @@
   }
 }
 
-/** Whole milliseconds; `never` when some instance did not get it within the limit of a run. */
-function milliseconds (value: number): number | string {
+/** Rounds to whole milliseconds; returns `never` when some instance did not adopt the change within the time limit of a run. */
+function formatMilliseconds (value: number): number | string {
   return Number.isFinite(value) ? rounded(value, 0) : 'never'
 }
--- a/packages/bench/src/convergencestore.ts
+++ b/packages/bench/src/convergencestore.ts
@@ -1,4 +1,4 @@
-/** Calls of the store by the size of the fleet, while nothing changes and while everything starts. */
+/** Number of store calls by size of the fleet, during startup and in steady state. */
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import { DetectionFleet } from './detectionfleet.ts'
 import { rounded } from './measures.ts'
@@ -10,15 +10,15 @@
   { entries: 12, agents: 330, steady: 20_000 },
   { entries: 12, agents: 1_100, steady: 10_000 }
 ]
-const START = 5_000
+const STARTUP_MILLISECONDS = 5_000
 
-/** One row per size. */
+/** One row per size of the fleet. */
 export function measureStoreCalls ({ seed }: SectionOptions): Row[] {
   return FLEETS.map(({ entries, agents, steady }) => {
     const fleet = new DetectionFleet({ entries, agents, timings: DEFAULT_TIMINGS, seed })
-    fleet.loop.run(START)
+    fleet.loop.run(STARTUP_MILLISECONDS)
     const started = { ...fleet.store.calls }
-    fleet.loop.run(START + steady)
+    fleet.loop.run(STARTUP_MILLISECONDS + steady)
     const { reads, writes, watchesOpened } = fleet.store.calls
     const perSecond = (calls: number) => rounded(calls * 1_000 / steady, 2)
     return {
--- a/packages/bench/src/detectionfleet.ts
+++ b/packages/bench/src/detectionfleet.ts
@@ -1,9 +1,10 @@
 /**
- * The real decision logic of entries and agents, run under virtual time with the edges that matter
- * for noticing a loss: links that are dialled, refused, cut and closed when silent, processes that
- * pause and are killed, and a store with one view. Intervals of the edges are those of the daemon.
+ * Runs the real logic of entries and agents under virtual time, with simulated links, processes and
+ * store, to measure failure detection. Links can be refused, partitioned and closed when idle;
+ * processes can be paused and killed; the store holds one view. Intervals and timeouts are those of
+ * the daemon.
  *
- * Left out: jobs, and the processor time of the processes themselves.
+ * Jobs and the processor time of the processes are left out.
  */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/coordination/agenttypes'
 import { Agent } from '@amaranthmast/coordination/agent'
@@ -25,65 +26,68 @@
 import { DetectionStore } from './detectionstore.ts'
 import { seededRandom } from './random.ts'
 
-/** How a fleet is made. */
+/** Options of a {@link DetectionFleet}. */
 export interface DetectionFleetOptions {
   entries: number
   agents: number
   timings: Timings
   seed: number
-  /** Time after which a link on which nothing arrives is closed, in milliseconds. @default the daemon's */
+  /** Idle timeout of links, in milliseconds. @default the daemon's */
   silence?: number
-  /** Makes an entry. @default the real one */
+  /** Creates an entry. @default the real one */
   makeEntry?: (options: EntryOptions) => Entry
 }
 
-/** Messages by kind, and what the fleet saw. */
+/** Counters and events that a fleet records. */
 export interface FleetCounts {
+  /** Number of messages by role of the sender and type. */
   messages: Map<string, number>
-  /** Documents of the configuration sent to entries and versions told to agents, and the bytes of the documents. */
+  /** Configuration messages sent to entries and to agents, and the bytes of the documents in them. */
   documents: { toEntries: number, toAgents: number, bytes: number }
-  /** Instants at which an entry stopped because it had been removed. */
+  /** Entries that stopped because they were removed from the view. */
   removals: Array<{ at: number, instance: Instance }>
-  /** Instants at which a configuration came into force. */
+  /** Configurations that came into force. */
   adoptions: Array<{ at: number, instance: Instance, version: number }>
-  /** Instants at which an entry gave an agent's unfinished tasks up. */
+  /** Agents whose unfinished tasks an entry abandoned. */
   losses: Array<{ at: number, agent: Instance }>
 }
 
-/** Watches of an entry: the view and the configuration. */
-const WATCHES = 2
-const RESTART = 1_000
-/** A poll's waits are three to five quarters of its mean. */
-const LEAST_WAIT = 0.75
-const WAIT_SPREAD = 0.5
-const SLOTS = 8
-const SEED_ROUND_TRIP = 4
+/** One watch of the view and one of the configuration. */
+const WATCHES_PER_ENTRY = 2
+/** Delay until the platform restarts a removed entry, in milliseconds. */
+const RESTART_DELAY = 1_000
+/** Waits between polls are 0.75 to 1.25 of their mean. */
+const POLL_MIN_FRACTION = 0.75
+const POLL_JITTER_FRACTION = 0.5
+const SLOTS_PER_AGENT = 8
+const SEED_ROUND_TRIP_MILLISECONDS = 4
 
 /**
- * The real scheduler, watched: an entry takes a target down when its link ends, and takes a target
- * that is down already down once more when it gives the agent up.
+ * The real scheduler, instrumented to detect abandoned agents. An entry calls `targetDown` when the
+ * link of a target ends, and once more for the same target when it abandons the agent.
  */
-class WatchedScheduler extends TaskScheduler {
-  readonly #down = new Set<Instance>()
-  readonly #givenUp: (agent: Instance) => void
+class ObservedScheduler extends TaskScheduler {
+  readonly #downTargets = new Set<Instance>()
+  readonly #onAgentAbandoned: (agent: Instance) => void
 
-  constructor (options: TaskSchedulerOptions, givenUp: (agent: Instance) => void) {
+  constructor (options: TaskSchedulerOptions, onAgentAbandoned: (agent: Instance) => void) {
     super(options)
-    this.#givenUp = givenUp
+    this.#onAgentAbandoned = onAgentAbandoned
   }
 
   override targetUp (...parameters: Parameters<TaskScheduler['targetUp']>): void {
-    this.#down.delete(parameters[0])
+    this.#downTargets.delete(parameters[0])
     super.targetUp(...parameters)
   }
 
   override targetDown (agent: Instance, now: number): void {
-    if (this.#down.has(agent)) this.#givenUp(agent)
-    this.#down.add(agent)
+    if (this.#downTargets.has(agent)) this.#onAgentAbandoned(agent)
+    this.#downTargets.add(agent)
     super.targetDown(agent, now)
   }
 }
 
+/** A simulated fleet of entries and agents. */
 export class DetectionFleet {
   readonly loop = new EventLoop()
   readonly random: () => number
@@ -101,15 +105,16 @@
     this.network = new DetectionNetwork(this.loop, this.random, options.silence ?? silenceOf(options.timings), {
       process: instance => this.#processes.get(instance),
       deliver: (process, run) => this.#deliver(process, run),
-      connected: (process, peer, dialled) => this.#connected(process, peer, dialled),
-      disconnected: (process, peer, refused) => this.#disconnected(process, peer, refused)
+      connected: (process, peer, dialled) => this.#handleConnected(process, peer, dialled),
+      disconnected: (process, peer, refused) => this.#handleDisconnected(process, peer, refused)
     })
     for (let index = 0; index < options.entries; index += 1) this.startEntry(`entry-${index}`)
     for (let index = 0; index < options.agents; index += 1) this.startAgent(`agent-${index}`)
-    this.store.onViewChanged(() => this.#viewChanged())
-    this.store.onConfigurationChanged(() => this.#configurationChanged())
+    this.store.onViewChanged(() => this.#notifyViewChanged())
+    this.store.onConfigurationChanged(() => this.#notifyConfigurationChanged())
   }
 
+  /** Processes that have not ended, including paused ones. */
   get processes (): FleetProcess[] {
     return [...this.#processes.values()].filter(process => process.alive)
   }
@@ -123,60 +128,60 @@
   }
 
   startEntry (id: string): FleetProcess {
-    const process = this.#newProcess(id)
+    const process = this.#createProcess(id)
     const options = {
       instance: process.instance,
       address: process.instance,
       dataCentre: 'gulf-1',
-      scheduler: new WatchedScheduler({ random: this.random }, agent => this.counts.losses.push({ at: this.loop.now, agent })),
+      scheduler: new ObservedScheduler({ random: this.random }, agent => this.counts.losses.push({ at: this.loop.now, agent })),
       parseConfiguration: (document: Uint8Array, version: number) => ({ ...EMPTY_CONFIGURATION, version }),
       random: this.random,
       wallClock: () => this.loop.now,
       timings: this.#options.timings
     }
     process.entry = this.#options.makeEntry?.(options) ?? new Entry(options)
-    this.#begin(process)
+    this.#scheduleFirstTick(process)
     this.loop.after(this.random() * TICK_MILLISECONDS, () => this.#readConfiguration(process))
     this.loop.after(this.random() * VIEW_POLL_MILLISECONDS, () => this.#pollView(process))
-    this.store.calls.watchesOpened += WATCHES
+    this.store.calls.watchesOpened += WATCHES_PER_ENTRY
     return process
   }
 
   startAgent (id: string, seeds = false): FleetProcess {
-    const process = this.#newProcess(id)
+    const process = this.#createProcess(id)
     process.seeds = seeds
-    const target = { target: id, provider: 'provider-a', services: ['label-check'], slots: SLOTS, accelerators: 0, memoryMegabytes: 65_536, dataCentre: 'gulf-1', rack: 'r1' }
-    process.agent = new Agent({ instance: process.instance, target, slots: new Slots({ ...target, queueLimit: SLOTS }), timings: this.#options.timings })
-    this.#begin(process)
+    const target = { target: id, provider: 'provider-a', services: ['label-check'], slots: SLOTS_PER_AGENT, accelerators: 0, memoryMegabytes: 65_536, dataCentre: 'gulf-1', rack: 'r1' }
+    process.agent = new Agent({ instance: process.instance, target, slots: new Slots({ ...target, queueLimit: SLOTS_PER_AGENT }), timings: this.#options.timings })
+    this.#scheduleFirstTick(process)
     return process
   }
 
-  /** Stops a process for a while; what reaches it meanwhile waits. */
+  /** Pauses a process. Messages and events that reach it meanwhile are deferred. */
   pause (process: FleetProcess, milliseconds: number): void {
     process.pausedUntil = Math.max(process.pausedUntil, this.loop.now + milliseconds)
-    this.loop.at(process.pausedUntil, () => this.#wake(process))
+    this.loop.at(process.pausedUntil, () => this.#resume(process))
   }
 
-  /** Ends a process as SIGKILL does: its connections break and its address refuses new ones. */
+  /** Ends a process as SIGKILL does: its connections break and new ones are refused. */
   kill (process: FleetProcess): void {
     if (!process.alive) return
     process.alive = false
     this.network.ended(process)
   }
 
-  /** Ends a process as a power cut of its machine does: nobody hears anything. */
+  /** Ends a process as a power failure of its machine does: its peers receive nothing, not even a reset. */
   silence (process: FleetProcess): void {
     process.pausedUntil = Number.POSITIVE_INFINITY
   }
 
-  /** The store's watch tells one entry of the configuration. */
-  tellConfiguration (entry: FleetProcess): void {
-    this.store.notify(entry.instance, () => this.#deliver(entry, () => this.#takeConfiguration(entry)))
+  /** Delivers the current configuration to one entry through its watch. */
+  notifyConfiguration (entry: FleetProcess): void {
+    this.store.notify(entry.instance, () => this.#deliver(entry, () => this.#handleConfiguration(entry)))
   }
 
-  /** Whether every other entry that runs has a view without this instance. */
-  removedEverywhere (instance: Instance): boolean {
-    const others = this.entries.filter(other => other.instance !== instance && this.#running(other))
+  /** Whether no other running entry has this instance in its view. */
+  isRemovedEverywhere (instance: Instance): boolean {
+    const others = this.entries.filter(other => other.instance !== instance && this.#isRunning(other))
     return others.every(other => !isMember(this.#viewOf(other), instance))
   }
 
@@ -184,71 +189,71 @@
     return (process.entry as Entry).status().view
   }
 
-  #running (process: FleetProcess): boolean {
+  #isRunning (process: FleetProcess): boolean {
     return process.alive && this.loop.now >= process.pausedUntil
   }
 
-  #newProcess (id: string): FleetProcess {
+  #createProcess (id: string): FleetProcess {
     this.#incarnation += 1
-    const process: FleetProcess = { instance: `${id}#${this.#incarnation}`, alive: true, pausedUntil: 0, missed: [], wanted: new Set(), reading: false }
+    const process: FleetProcess = { instance: `${id}#${this.#incarnation}`, alive: true, pausedUntil: 0, deferred: [], wanted: new Set(), readingView: false }
     this.#processes.set(process.instance, process)
     return process
   }
 
-  #begin (process: FleetProcess): void {
+  #scheduleFirstTick (process: FleetProcess): void {
     this.loop.after(this.random() * TICK_MILLISECONDS, () => this.#tick(process))
   }
 
   #tick (process: FleetProcess): void {
     if (!process.alive) return
-    if (this.#running(process)) {
-      this.network.sweep(process)
+    if (this.#isRunning(process)) {
+      this.network.closeIdleLinks(process)
       this.#handle(process, { type: 'tick' })
     }
     this.loop.at(Math.max(this.loop.now, Math.min(process.pausedUntil, Number.MAX_SAFE_INTEGER)) + TICK_MILLISECONDS, () => this.#tick(process))
   }
 
-  /** After a pause the timer fires first, then what arrived is read. */
-  #wake (process: FleetProcess): void {
-    if (!this.#running(process)) return
-    const { missed } = process
-    process.missed = []
-    this.network.sweep(process)
+  /** Continues a process after its pause: the overdue timer fires first, then deferred input is handled. */
+  #resume (process: FleetProcess): void {
+    if (!this.#isRunning(process)) return
+    const { deferred } = process
+    process.deferred = []
+    this.network.closeIdleLinks(process)
     this.#handle(process, { type: 'tick' })
-    for (const run of missed) run()
+    for (const run of deferred) run()
   }
 
   #deliver (process: FleetProcess, run: () => void): void {
     if (!process.alive) return
-    if (this.#running(process)) run()
-    else process.missed.push(run)
+    if (this.#isRunning(process)) run()
+    else process.deferred.push(run)
   }
 
   #handle (process: FleetProcess, event: EntryEvent | AgentEvent): void {
     if (!process.alive) return
     if (process.entry !== undefined) {
-      for (const effect of process.entry.handle(event as EntryEvent, this.loop.now)) this.#entryEffect(process, effect)
+      for (const effect of process.entry.handle(event as EntryEvent, this.loop.now)) this.#applyEntryEffect(process, effect)
     } else {
-      for (const effect of (process.agent as Agent).handle(event as AgentEvent, this.loop.now)) this.#agentEffect(process, effect)
+      for (const effect of (process.agent as Agent).handle(event as AgentEvent, this.loop.now)) this.#applyAgentEffect(process, effect)
     }
   }
 
-  #entryEffect (process: FleetProcess, effect: EntryEffect): void {
+  #applyEntryEffect (process: FleetProcess, effect: EntryEffect): void {
     switch (effect.type) {
       case 'sendPeer': this.#send(process, effect.peer, effect.message); break
       case 'sendAgent': this.#send(process, effect.agent, effect.message); break
-      case 'connectPeers': this.network.want(process, effect.peers.map(({ instance }) => instance).filter(peer => peer !== process.instance)); break
+      case 'connectPeers': this.network.setPeers(process, effect.peers.map(({ instance }) => instance).filter(peer => peer !== process.instance)); break
       case 'readView': this.#readView(process); break
       case 'writeView': this.#writeView(process, effect.view, effect.expectedRevision); break
-      case 'configurationAdopted': this.#adopted(process, effect.configuration.version); break
-      case 'stopped': this.#removed(process); break
+      case 'configurationAdopted': this.#recordAdoption(process, effect.configuration.version); break
+      case 'stopped': this.#handleRemoval(process); break
       default: break
     }
   }
 
-  #agentEffect (process: FleetProcess, effect: AgentEffect): void {
+  #applyAgentEffect (process: FleetProcess, effect: AgentEffect): void {
     if (effect.type === 'sendEntry') this.#send(process, effect.entry, effect.message)
-    if (effect.type === 'connectEntries') this.network.want(process, effect.entries.map(({ instance }) => instance))
+    if (effect.type === 'connectEntries') this.network.setPeers(process, effect.entries.map(({ instance }) => instance))
     if (effect.type === 'readView') this.#readView(process)
   }
 
@@ -268,7 +273,7 @@
 
   #receive (receiver: FleetProcess, from: FleetProcess, message: PeerMessage | EntryToAgent | AgentToEntry): void {
     if (receiver.agent !== undefined) {
-      if (message.case === 'configuration') this.#adopted(receiver, message.value.version)
+      if (message.case === 'configuration') this.#recordAdoption(receiver, message.value.version)
       this.#handle(receiver, { type: 'entryMessage', entry: from.instance, message: message as EntryToAgent })
     } else if (from.agent !== undefined) {
       this.#handle(receiver, { type: 'agentMessage', agent: from.instance, message: message as AgentToEntry })
@@ -277,13 +282,13 @@
     }
   }
 
-  #connected (process: FleetProcess, peer: FleetProcess, dialled: boolean): void {
+  #handleConnected (process: FleetProcess, peer: FleetProcess, dialled: boolean): void {
     if (process.agent !== undefined) this.#handle(process, { type: 'entryConnected', entry: peer.instance })
     else if (peer.entry !== undefined) this.#handle(process, { type: 'peerConnected', peer: peer.instance })
     else if (dialled) throw new TypeError('an entry never dials an agent')
   }
 
-  #disconnected (process: FleetProcess, peer: FleetProcess, refused: boolean): void {
+  #handleDisconnected (process: FleetProcess, peer: FleetProcess, refused: boolean): void {
     if (process.agent !== undefined) {
       if (!refused) this.#handle(process, { type: 'entryDisconnected', entry: peer.instance })
     } else if (peer.entry !== undefined) {
@@ -294,14 +299,14 @@
   }
 
   #readView (process: FleetProcess): void {
-    if (process.reading) return
-    process.reading = true
+    if (process.readingView) return
+    process.readingView = true
     const readStarted = this.loop.now
     this.store.read(process.instance, result => this.#deliver(process, () => {
-      process.reading = false
+      process.readingView = false
       if (result === undefined) {
         if (process.entry !== undefined) this.#handle(process, { type: 'viewReadFailed' })
-        else if (process.seeds === true) this.#askSeed(process)
+        else if (process.seeds === true) this.#readViewFromSeed(process)
         return
       }
       const { view, revision } = result
@@ -309,11 +314,11 @@
     }))
   }
 
-  /** One round trip to an entry, and one to open the connection. */
-  #askSeed (process: FleetProcess): void {
+  /** Reads the view from a seed entry. It takes one round trip to connect and one for the request. */
+  #readViewFromSeed (process: FleetProcess): void {
     const [seed] = this.entries
     if (seed === undefined) return
-    this.loop.after(2 * SEED_ROUND_TRIP, () => this.#deliver(process, () => this.#handle(process, { type: 'viewRead', view: this.#viewOf(seed) })))
+    this.loop.after(2 * SEED_ROUND_TRIP_MILLISECONDS, () => this.#deliver(process, () => this.#handle(process, { type: 'viewRead', view: this.#viewOf(seed) })))
   }
 
   #writeView (process: FleetProcess, view: View, expectedRevision: number): void {
@@ -322,23 +327,23 @@
     }))
   }
 
-  #viewChanged (): void {
+  #notifyViewChanged (): void {
     for (const entry of this.entries) this.store.notify(entry.instance, () => this.#deliver(entry, () => this.#readView(entry)))
   }
 
-  #configurationChanged (): void {
-    for (const entry of this.entries) this.tellConfiguration(entry)
+  #notifyConfigurationChanged (): void {
+    for (const entry of this.entries) this.notifyConfiguration(entry)
   }
 
-  /** At the start, then at every poll. */
+  /** Reads the configuration from the store, now and then at every poll. */
   #readConfiguration (process: FleetProcess): void {
     if (!process.alive) return
-    this.store.readConfiguration(process.instance, () => this.#deliver(process, () => this.#takeConfiguration(process)))
+    this.store.readConfiguration(process.instance, () => this.#deliver(process, () => this.#handleConfiguration(process)))
     this.loop.after(this.#pollWait(CONFIGURATION_POLL_MILLISECONDS), () => this.#readConfiguration(process))
   }
 
   #pollWait (mean: number): number {
-    return mean * (LEAST_WAIT + WAIT_SPREAD * this.random())
+    return mean * (POLL_MIN_FRACTION + POLL_JITTER_FRACTION * this.random())
   }
 
   #pollView (process: FleetProcess): void {
@@ -347,20 +352,20 @@
     this.loop.after(this.#pollWait(VIEW_POLL_MILLISECONDS), () => this.#pollView(process))
   }
 
-  #takeConfiguration (process: FleetProcess): void {
+  #handleConfiguration (process: FleetProcess): void {
     const version = this.store.configurationVersion
     if (version === 0) return
     this.#handle(process, { type: 'configurationRead', configuration: { ...EMPTY_CONFIGURATION, version }, document: Uint8Array.of(version) })
   }
 
-  #adopted (process: FleetProcess, version: number): void {
+  #recordAdoption (process: FleetProcess, version: number): void {
     this.counts.adoptions.push({ at: this.loop.now, instance: process.instance, version })
   }
 
-  /** A removed entry ends, and its platform starts it anew under another incarnation. */
-  #removed (process: FleetProcess): void {
+  /** Ends a removed entry, which the platform then restarts as a new incarnation. */
+  #handleRemoval (process: FleetProcess): void {
     this.counts.removals.push({ at: this.loop.now, instance: process.instance })
     this.kill(process)
-    this.loop.after(RESTART, () => this.startEntry(process.instance.split('#', 1)[0] as string))
+    this.loop.after(RESTART_DELAY, () => this.startEntry(process.instance.split('#', 1)[0] as string))
   }
 }
--- a/packages/bench/src/detectionnetwork.ts
+++ b/packages/bench/src/detectionnetwork.ts
@@ -1,7 +1,7 @@
 /**
- * Links between the processes of a fleet, as the daemon keeps them: dialled by one end, dialled
- * again after a growing pause, closed when silent, asked about at the peer's own address when they
- * break. Packets that meet a cut are sent again after 0.2, 0.6, 1.4, 3 and 6.2 s, as TCP does.
+ * Simulated links between the processes of a fleet, with the daemon's behaviour: one end dials, dials
+ * again with backoff, closes idle links, and probes the peer's address when a link breaks. Packets
+ * lost in a partition are retransmitted after 0.2, 0.6, 1.4, 3, 6.2 and 12.6 s, as by TCP.
  */
 import type { Instance } from '@amaranthmast/coordination/messages'
 import { CONNECT_TIMEOUT_MILLISECONDS, OWN_PAUSE_MILLISECONDS, RECONNECT_FIRST_MILLISECONDS, RECONNECT_LAST_MILLISECONDS, SWEEP_MILLISECONDS } from '@amaranthmast/daemon/defaults'
@@ -9,106 +9,116 @@
 import type { FleetProcess } from './detectionprocess.ts'
 import { logUniform } from './random.ts'
 
-/** What the network needs of the fleet. */
-export interface NetworkEnds {
+/** Callbacks from the network to the fleet. */
+export interface NetworkCallbacks {
+  /** Returns the process of an instance. */
   process: (instance: Instance) => FleetProcess | undefined
-  /** Runs something in a process, later when it is paused. */
+  /** Runs a callback in a process, deferred while the process is paused. */
   deliver: (process: FleetProcess, run: () => void) => void
+  /** A link is open; `dialled` is whether this process dialled it. */
   connected: (process: FleetProcess, peer: FleetProcess, dialled: boolean) => void
+  /** A link has ended, or the peer's address refused a connection. */
   disconnected: (process: FleetProcess, peer: FleetProcess, refused: boolean) => void
 }
 
-/** One end of a link as its process sees it. */
+/** State of a link at one of its ends. */
 interface LinkEnd {
-  /** Both ends of one connection have the same number. */
+  /** Number of the connection, the same at both ends. */
   connection: number
-  heard: boolean
-  lastHeard: number
+  /** Whether anything has arrived since the last sweep. */
+  receivedSinceSweep: boolean
+  lastReceivedAt: number
 }
 
-const LEG = { low: 0.5, high: 2 }
-/** Waits before a packet is sent again, and before a request for a connection is. */
+/** One-way latency, in milliseconds. */
+const NETWORK_LATENCY = { low: 0.5, high: 2 }
+/** Times after the first transmission at which a packet or a connection request is retransmitted, in milliseconds. */
 const RETRANSMISSIONS = [200, 600, 1_400, 3_000, 6_200, 12_600]
 const CONNECT_RETRANSMISSIONS = [1_000, 3_000, 7_000]
 
+/** Simulates the links between processes. */
 export class DetectionNetwork {
   readonly #loop: EventLoop
   readonly #random: () => number
-  readonly #ends: NetworkEnds
-  /** Ends of links by owner, then by peer. */
+  readonly #callbacks: NetworkCallbacks
+  /** Link ends by owner, then by peer. */
   readonly #links = new Map<Instance, Map<Instance, LinkEnd>>()
-  readonly #cutUntil = new Map<string, number>()
-  readonly #lagUntil = new Map<string, { until: number, milliseconds: number }>()
-  readonly #arrivals = new Map<string, number>()
-  readonly #swept = new Map<Instance, number>()
-  readonly #dialling = new Set<string>()
-  readonly #silence: number
+  readonly #lossUntil = new Map<string, number>()
+  readonly #delayUntil = new Map<string, { until: number, milliseconds: number }>()
+  readonly #lastArrivals = new Map<string, number>()
+  readonly #lastSweeps = new Map<Instance, number>()
+  readonly #pendingDials = new Set<string>()
+  readonly #idleTimeout: number
   #connections = 0
 
-  /** @param silence time after which a link on which nothing arrives is closed, in milliseconds */
-  constructor (loop: EventLoop, random: () => number, silence: number, ends: NetworkEnds) {
-    this.#silence = silence
+  /** @param idleTimeout time without received data after which a link is closed, in milliseconds */
+  constructor (loop: EventLoop, random: () => number, idleTimeout: number, callbacks: NetworkCallbacks) {
+    this.#idleTimeout = idleTimeout
     this.#loop = loop
     this.#random = random
-    this.#ends = ends
+    this.#callbacks = callbacks
   }
 
-  /** Loses what goes from one instance to another until then. */
+  /** Drops all packets from one instance to another until the instant `until`. */
   cut (from: Instance, to: Instance, until: number): void {
-    this.#cutUntil.set(pair(from, to), until)
+    this.#lossUntil.set(pairKey(from, to), until)
   }
 
-  /** Delays what goes from one instance to another until then. */
+  /** Delays packets from one instance to another by up to `milliseconds` until the instant `until`. */
   lag (from: Instance, to: Instance, milliseconds: number, until: number): void {
-    this.#lagUntil.set(pair(from, to), { until, milliseconds })
+    this.#delayUntil.set(pairKey(from, to), { until, milliseconds })
   }
 
-  /** Keeps links to these instances. Between entries the greater one dials; agents always dial. */
-  want (process: FleetProcess, peers: readonly Instance[]): void {
+  /** Sets the instances that a process maintains links to. Between entries, the greater instance id dials; agents always dial. */
+  setPeers (process: FleetProcess, peers: readonly Instance[]): void {
     const dropped = [...process.wanted].filter(peer => !peers.includes(peer))
     process.wanted = new Set(peers)
     for (const peer of dropped) this.#close(process.instance, peer)
     for (const peer of peers) if (this.#dials(process, peer)) this.#dial(process, peer, 0)
   }
 
+  /** Sends a message on the link to a peer. It is dropped when there is no link, or when the connection ends before it arrives. */
   send (from: Instance, to: Instance, receive: (receiver: FleetProcess) => void): void {
-    const link = this.#end(from, to)
+    const link = this.#linkEnd(from, to)
     if (link === undefined) return
     this.#transmit(from, to, link.connection, receiver => {
-      const end = this.#end(to, from)
+      const end = this.#linkEnd(to, from)
       if (end === undefined || end.connection !== link.connection) return
-      end.heard = true
+      end.receivedSinceSweep = true
       receive(receiver)
     })
   }
 
-  /** A process has ended: its connections break, and its address refuses. */
+  /** Breaks all connections of a process that has ended. */
   ended (process: FleetProcess): void {
     for (const [peer, { connection }] of this.#links.get(process.instance) ?? []) {
-      this.#transmit(process.instance, peer, connection, other => this.#broken(other, process, connection))
+      this.#transmit(process.instance, peer, connection, other => this.#handleBroken(other, process, connection))
     }
     this.#links.delete(process.instance)
   }
 
-  /** Breaks a connection at both ends, as a reset does. */
+  /** Breaks a connection at both ends, as a TCP reset does. */
   reset (one: Instance, other: Instance): void {
     this.#close(one, other)
   }
 
-  /** Closes silent links, twice a second; after a pause of the process itself none counts as silent. */
-  sweep (process: FleetProcess): void {
+  /**
+   * Closes idle links, at most once per sweep interval. After a pause of the process itself, no link
+   * counts as idle, because received data may be waiting.
+   */
+  closeIdleLinks (process: FleetProcess): void {
     const { now } = this.#loop
-    const last = this.#swept.get(process.instance) ?? now
-    if (now - last < SWEEP_MILLISECONDS && this.#swept.has(process.instance)) return
-    this.#swept.set(process.instance, now)
+    const last = this.#lastSweeps.get(process.instance) ?? now
+    if (now - last < SWEEP_MILLISECONDS && this.#lastSweeps.has(process.instance)) return
+    this.#lastSweeps.set(process.instance, now)
     for (const [peer, end] of this.#links.get(process.instance) ?? []) {
-      if (end.heard || now - last > OWN_PAUSE_MILLISECONDS) end.lastHeard = now
-      end.heard = false
-      if (now - end.lastHeard > this.#silence) this.#close(process.instance, peer)
+      if (end.receivedSinceSweep || now - last > OWN_PAUSE_MILLISECONDS) end.lastReceivedAt = now
+      end.receivedSinceSweep = false
+      if (now - end.lastReceivedAt > this.#idleTimeout) this.#close(process.instance, peer)
     }
   }
 
-  #end (owner: Instance, peer: Instance): LinkEnd | undefined {
+  #linkEnd (owner: Instance, peer: Instance): LinkEnd | undefined {
     return this.#links.get(owner)?.get(peer)
   }
 
@@ -122,38 +132,38 @@
   }
 
   #dial (process: FleetProcess, peer: Instance, failures: number): void {
-    const key = pair(process.instance, peer)
-    if (this.#dialling.has(key) || this.#end(process.instance, peer) !== undefined) return
-    this.#dialling.add(key)
-    const wait = failures === 0 ? 0 : longestWait(failures) * (0.5 + this.#random() / 2)
-    this.#loop.after(wait, () => this.#ends.deliver(process, () => {
-      this.#dialling.delete(key)
-      if (process.wanted.has(peer) && this.#end(process.instance, peer) === undefined) this.#attempt(process, peer, failures)
+    const key = pairKey(process.instance, peer)
+    if (this.#pendingDials.has(key) || this.#linkEnd(process.instance, peer) !== undefined) return
+    this.#pendingDials.add(key)
+    const wait = failures === 0 ? 0 : maxReconnectWait(failures) * (0.5 + this.#random() / 2)
+    this.#loop.after(wait, () => this.#callbacks.deliver(process, () => {
+      this.#pendingDials.delete(key)
+      if (process.wanted.has(peer) && this.#linkEnd(process.instance, peer) === undefined) this.#connect(process, peer, failures)
     }))
   }
 
-  #attempt (process: FleetProcess, peer: Instance, failures: number): void {
+  #connect (process: FleetProcess, peer: Instance, failures: number): void {
     const connection = this.#newConnection()
-    const key = pair(process.instance, peer)
-    this.#dialling.add(key)
-    let over = false
+    const key = pairKey(process.instance, peer)
+    this.#pendingDials.add(key)
+    let finished = false
     const end = (run: () => void) => {
-      if (over) return
-      over = true
-      this.#dialling.delete(key)
+      if (finished) return
+      finished = true
+      this.#pendingDials.delete(key)
       run()
     }
-    const again = () => this.#ends.deliver(process, () => this.#dial(process, peer, failures + 1))
-    this.#loop.after(CONNECT_TIMEOUT_MILLISECONDS, () => end(again))
-    const target = this.#ends.process(peer)
-    this.#transmitRequest(process.instance, peer, () => {
+    const retry = () => this.#callbacks.deliver(process, () => this.#dial(process, peer, failures + 1))
+    this.#loop.after(CONNECT_TIMEOUT_MILLISECONDS, () => end(retry))
+    const target = this.#callbacks.process(peer)
+    this.#transmitConnectRequest(process.instance, peer, () => {
       if (target === undefined || !target.alive) {
-        this.#transmit(peer, process.instance, connection, () => end(() => { this.#reportRefused(process, peer); again() }))
+        this.#transmit(peer, process.instance, connection, () => end(() => { this.#reportRefused(process, peer); retry() }))
         return
       }
-      this.#ends.deliver(target, () => {
-        if (over) return
-        // The empty first frame leaves before anything that the new link makes the target say.
+      this.#callbacks.deliver(target, () => {
+        if (finished) return
+        // The empty first frame is sent before any message that opening the link triggers.
         this.#transmit(peer, process.instance, connection, () => end(() => this.#open(process, target, connection, true)))
         this.#open(target, process, connection, false)
       })
@@ -161,79 +171,79 @@
   }
 
   #open (process: FleetProcess, peer: FleetProcess, connection: number, dialled: boolean): void {
-    if (this.#end(process.instance, peer.instance) !== undefined) this.#ends.disconnected(process, peer, false)
+    if (this.#linkEnd(process.instance, peer.instance) !== undefined) this.#callbacks.disconnected(process, peer, false)
     const ends = this.#links.get(process.instance) ?? new Map<Instance, LinkEnd>()
     this.#links.set(process.instance, ends)
-    ends.set(peer.instance, { connection, heard: true, lastHeard: this.#loop.now })
-    this.#ends.connected(process, peer, dialled)
+    ends.set(peer.instance, { connection, receivedSinceSweep: true, lastReceivedAt: this.#loop.now })
+    this.#callbacks.connected(process, peer, dialled)
   }
 
-  /** This end breaks the connection off; the other end learns of it by a packet. */
+  /** Closes the connection at this end and sends a packet that closes it at the other. */
   #close (own: Instance, peer: Instance): void {
-    const process = this.#ends.process(own)
-    const other = this.#ends.process(peer)
-    const link = this.#end(own, peer)
+    const process = this.#callbacks.process(own)
+    const other = this.#callbacks.process(peer)
+    const link = this.#linkEnd(own, peer)
     if (process === undefined || other === undefined || link === undefined) return
-    this.#transmit(own, peer, link.connection, receiver => this.#broken(receiver, process, link.connection))
-    this.#broken(process, other, link.connection)
+    this.#transmit(own, peer, link.connection, receiver => this.#handleBroken(receiver, process, link.connection))
+    this.#handleBroken(process, other, link.connection)
   }
 
-  #broken (process: FleetProcess, peer: FleetProcess, connection: number): void {
-    if (this.#end(process.instance, peer.instance)?.connection !== connection) return
+  #handleBroken (process: FleetProcess, peer: FleetProcess, connection: number): void {
+    if (this.#linkEnd(process.instance, peer.instance)?.connection !== connection) return
     this.#links.get(process.instance)?.delete(peer.instance)
-    this.#ends.disconnected(process, peer, false)
+    this.#callbacks.disconnected(process, peer, false)
     if (!process.wanted.has(peer.instance)) return
     if (this.#dials(process, peer.instance)) this.#dial(process, peer.instance, 1)
     else this.#probe(process, peer, 0)
   }
 
-  /** The end that is dialled asks at the peer's own address until a link is up again. */
+  /** Probes the peer's address until a link is open again. Run by the end that does not dial. */
   #probe (process: FleetProcess, peer: FleetProcess, failures: number): void {
-    if (!process.alive || !process.wanted.has(peer.instance) || this.#end(process.instance, peer.instance) !== undefined) return
-    this.#transmitRequest(process.instance, peer.instance, () => {
+    if (!process.alive || !process.wanted.has(peer.instance) || this.#linkEnd(process.instance, peer.instance) !== undefined) return
+    this.#transmitConnectRequest(process.instance, peer.instance, () => {
       if (!peer.alive) this.#transmit(peer.instance, process.instance, this.#newConnection(), () => this.#reportRefused(process, peer.instance))
     })
-    const wait = CONNECT_TIMEOUT_MILLISECONDS / 2 + longestWait(failures)
-    this.#loop.after(wait, () => this.#ends.deliver(process, () => this.#probe(process, peer, failures + 1)))
+    const wait = CONNECT_TIMEOUT_MILLISECONDS / 2 + maxReconnectWait(failures)
+    this.#loop.after(wait, () => this.#callbacks.deliver(process, () => this.#probe(process, peer, failures + 1)))
   }
 
   #reportRefused (process: FleetProcess, peer: Instance): void {
-    const other = this.#ends.process(peer)
-    if (other !== undefined && process.wanted.has(peer)) this.#ends.disconnected(process, other, true)
+    const other = this.#callbacks.process(peer)
+    if (other !== undefined && process.wanted.has(peer)) this.#callbacks.disconnected(process, other, true)
   }
 
-  /** Brings a packet to a process, in the order of sending on its connection. */
+  /** Delivers a packet to a process. Packets of one connection arrive in order. */
   #transmit (from: Instance, to: Instance, connection: number, receive: (receiver: FleetProcess) => void): void {
     const key = `${connection}|${from}`
-    const at = Math.max(this.#arrival(pair(from, to), RETRANSMISSIONS), this.#arrivals.get(key) ?? 0)
-    this.#arrivals.set(key, at)
+    const at = Math.max(this.#arrivalTime(pairKey(from, to), RETRANSMISSIONS), this.#lastArrivals.get(key) ?? 0)
+    this.#lastArrivals.set(key, at)
     this.#loop.at(at, () => {
-      const receiver = this.#ends.process(to)
-      if (receiver !== undefined) this.#ends.deliver(receiver, () => receive(receiver))
+      const receiver = this.#callbacks.process(to)
+      if (receiver !== undefined) this.#callbacks.deliver(receiver, () => receive(receiver))
     })
   }
 
-  /** A request for a connection, which no earlier packet delays. */
-  #transmitRequest (from: Instance, to: Instance, arrive: () => void): void {
-    this.#loop.at(this.#arrival(pair(from, to), CONNECT_RETRANSMISSIONS), arrive)
+  /** Delivers a connection request, which is not ordered after other packets. */
+  #transmitConnectRequest (from: Instance, to: Instance, arrive: () => void): void {
+    this.#loop.at(this.#arrivalTime(pairKey(from, to), CONNECT_RETRANSMISSIONS), arrive)
   }
 
-  #arrival (key: string, retransmissions: readonly number[]): number {
+  #arrivalTime (key: string, retransmissions: readonly number[]): number {
     const { now } = this.#loop
-    const end = this.#cutUntil.get(key) ?? 0
-    const lag = this.#lagUntil.get(key)
-    const extra = lag !== undefined && now < lag.until ? lag.milliseconds * this.#random() : 0
-    const leg = logUniform(this.#random, LEG.low, LEG.high) + extra
-    if (now >= end) return now + leg
+    const end = this.#lossUntil.get(key) ?? 0
+    const delay = this.#delayUntil.get(key)
+    const extra = delay !== undefined && now < delay.until ? delay.milliseconds * this.#random() : 0
+    const latency = logUniform(this.#random, NETWORK_LATENCY.low, NETWORK_LATENCY.high) + extra
+    if (now >= end) return now + latency
     const retry = retransmissions.map(wait => now + wait).find(instant => instant >= end)
-    return (retry ?? end) + leg
+    return (retry ?? end) + latency
   }
 }
 
-function longestWait (failures: number): number {
+function maxReconnectWait (failures: number): number {
   return Math.min(RECONNECT_FIRST_MILLISECONDS * 2 ** failures, RECONNECT_LAST_MILLISECONDS)
 }
 
-function pair (from: Instance, to: Instance): string {
+function pairKey (from: Instance, to: Instance): string {
   return `${from}|${to}`
 }
--- a/packages/bench/src/detectionprocess.ts
+++ b/packages/bench/src/detectionprocess.ts
@@ -1,4 +1,4 @@
-/** What the fleet and its network share of one process. */
+/** State of one simulated process, shared by the fleet and its network. */
 import type { Agent } from '@amaranthmast/coordination/agent'
 import type { Entry } from '@amaranthmast/coordination/entry'
 import type { Instance } from '@amaranthmast/coordination/messages'
@@ -8,13 +8,14 @@
   instance: Instance
   alive: boolean
   pausedUntil: number
-  /** What happened while it was paused. */
-  missed: Array<() => void>
+  /** Callbacks to run when the pause ends. */
+  deferred: Array<() => void>
   entry?: Entry
   agent?: Agent
-  /** Instances that it keeps a link to. */
+  /** Instances to which it maintains a link. */
   wanted: Set<Instance>
-  reading: boolean
-  /** Whether its settings name entries to ask for the view when the store does not answer. */
+  /** Whether a read of the view is in progress. */
+  readingView: boolean
+  /** Whether its settings list seed entries, which provide the view when the store does not respond. */
   seeds?: boolean
 }
--- a/packages/bench/src/detectionsection.ts
+++ b/packages/bench/src/detectionsection.ts
@@ -1,4 +1,4 @@
-/** How soon a lost entry or agent is noticed, and how often a live one is taken for lost. */
+/** Detection times of lost entries and agents, and rates of false detections. */
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import type { FleetProcess } from './detectionprocess.ts'
 import { DetectionFleet } from './detectionfleet.ts'
@@ -6,20 +6,20 @@
 import { logUniform } from './random.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
-/** A disturbance of one process that goes on living. */
-interface Upset {
+/** A disturbance of one process that keeps running. */
+interface Disturbance {
   name: string
-  /** How often it is taken to happen to one process in a day. */
+  /** Assumed number of occurrences per process and day. */
   perDay: number
   act: (fleet: DetectionFleet, subject: FleetProcess) => void
 }
 
-type Patience = typeof PATIENCES[number]
+type TimeoutCase = typeof TIMEOUT_CASES[number]
 
 const ENTRIES = [3, 12]
 const SUSPECT_TIMES = [600, 1_200, 1_800, 2_400]
-/** Time after which a disconnected agent is given up, and after which a silent link counts as broken. */
-const PATIENCES = [
+/** Timeouts for abandoning a disconnected agent (`agentLost`) and for closing an idle link (`silence`), in milliseconds. */
+const TIMEOUT_CASES = [
   { agentLost: 1_000, silence: 2_000 },
   { agentLost: 2_000, silence: 2_000 },
   { agentLost: 4_000, silence: 2_000 },
@@ -27,158 +27,159 @@
 ]
 
 const AGENTS = 11
-const SETTLED = 5_000
-const UPSET_EVERY = 8_000
-const LOSSES = 30
-const LIMIT = 20_000
-/** Disturbances of each kind, over all entries of the fleet. */
-const UPSETS: Readonly<Record<number, number>> = { 3: 200, 12: 60 }
-const AGENT_UPSETS = 100
-
-const ENTRY_UPSETS: readonly Upset[] = [
+const SETTLE_MILLISECONDS = 5_000
+/** Time between two disturbances, in milliseconds. */
+const DISTURBANCE_INTERVAL = 8_000
+const RUNS_PER_LOSS = 30
+const MAX_DETECTION_TIME = 20_000
+/** Number of disturbances of each type, by number of entries. */
+const DISTURBANCES_BY_ENTRIES: Readonly<Record<number, number>> = { 3: 200, 12: 60 }
+const AGENT_DISTURBANCE_COUNT = 100
+
+const ENTRY_DISTURBANCES: readonly Disturbance[] = [
   { name: 'pause 50-800', perDay: 1_440, act: (fleet, subject) => fleet.pause(subject, logUniform(fleet.random, 50, 800)) },
   { name: 'pause 800-1200', perDay: 1, act: (fleet, subject) => fleet.pause(subject, logUniform(fleet.random, 800, 1_200)) },
   { name: 'stop 2000', perDay: 1, act: (fleet, subject) => fleet.pause(subject, 2_000) },
-  { name: 'lag 0-500 for 5 s', perDay: 24, act: (fleet, subject) => eachPeer(fleet, subject, peer => lagBoth(fleet, subject, peer)) },
+  { name: 'lag 0-500 for 5 s', perDay: 24, act: (fleet, subject) => forEachPeer(fleet, subject, peer => lagBoth(fleet, subject, peer)) },
   { name: 'one way to one peer cut 1000', perDay: 1, act: (fleet, subject) => fleet.network.cut(subject.instance, anotherEntry(fleet, subject), fleet.loop.now + 1_000) },
   { name: 'one way to one peer cut 3000', perDay: 1, act: (fleet, subject) => fleet.network.cut(subject.instance, anotherEntry(fleet, subject), fleet.loop.now + 3_000) },
   { name: 'both ways to one peer cut 3000', perDay: 1, act: (fleet, subject) => cutBoth(fleet, subject, anotherEntry(fleet, subject), 3_000) },
-  { name: 'both ways to all peers cut 1000', perDay: 1, act: (fleet, subject) => eachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 1_000)) },
-  { name: 'both ways to all peers cut 3000', perDay: 1, act: (fleet, subject) => eachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 3_000)) }
+  { name: 'both ways to all peers cut 1000', perDay: 1, act: (fleet, subject) => forEachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 1_000)) },
+  { name: 'both ways to all peers cut 3000', perDay: 1, act: (fleet, subject) => forEachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 3_000)) }
 ]
 
-const AGENT_UPSET_KINDS: readonly Upset[] = [
+const AGENT_DISTURBANCES: readonly Disturbance[] = [
   { name: 'pause 50-800', perDay: 1_440, act: (fleet, subject) => fleet.pause(subject, logUniform(fleet.random, 50, 800)) },
   { name: 'stop 2000', perDay: 1, act: (fleet, subject) => fleet.pause(subject, 2_000) },
   { name: 'connections reset', perDay: 1, act: resetAll },
   { name: 'connections reset, stop 2000', perDay: 1, act: (fleet, subject) => { resetAll(fleet, subject); fleet.pause(subject, 2_000) } },
   { name: 'both ways cut 1000, reset', perDay: 1, act: (fleet, subject) => cutAndReset(fleet, subject, 1_000) },
   { name: 'both ways cut 3000, reset', perDay: 1, act: (fleet, subject) => cutAndReset(fleet, subject, 3_000) },
-  { name: 'both ways cut 3000', perDay: 1, act: (fleet, subject) => eachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 3_000)) }
+  { name: 'both ways cut 3000', perDay: 1, act: (fleet, subject) => forEachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, 3_000)) }
 ]
 
-/** One row per size and suspect time: killed entries, with and without the store, and silent ones. */
+/** One row per number of entries and suspect time: detection of killed entries, with and without the store, and of unresponsive ones. */
 export function measureDetection ({ seed }: SectionOptions): Row[] {
   return ENTRIES.flatMap(entries => SUSPECT_TIMES.map(suspect => {
-    const killed = timesOf(seed, run => noticeEntry({ entries, suspect, seed: run }, (fleet, entry) => fleet.kill(entry)))
-    const killedInOutage = timesOf(seed, run => noticeEntry({ entries, suspect, seed: run }, (fleet, entry) => {
+    const killed = repeatRuns(seed, run => entryDetectionTime({ entries, suspect, seed: run }, (fleet, entry) => fleet.kill(entry)))
+    const killedInOutage = repeatRuns(seed, run => entryDetectionTime({ entries, suspect, seed: run }, (fleet, entry) => {
       fleet.store.down = true
       fleet.kill(entry)
     }))
-    const silent = timesOf(seed, run => noticeEntry({ entries, suspect, seed: run }, (fleet, entry) => fleet.silence(entry)))
-    return { entries, suspect, ...spread('killed', killed), ...spread('killedStoreDown', killedInOutage), ...spread('silent', silent) }
+    const silent = repeatRuns(seed, run => entryDetectionTime({ entries, suspect, seed: run }, (fleet, entry) => fleet.silence(entry)))
+    return { entries, suspect, ...summarize('killed', killed), ...summarize('killedStoreDown', killedInOutage), ...summarize('silent', silent) }
   }))
 }
 
-/** One row per size, suspect time and disturbance: live entries that were removed. */
+/** One row per number of entries, suspect time and disturbance: removals of live entries. */
 export function measureFalseRemovals ({ seed }: SectionOptions): Row[] {
-  return ENTRIES.flatMap(entries => SUSPECT_TIMES.flatMap(suspect => ENTRY_UPSETS.map(upset => {
-    const upsets = UPSETS[entries] as number
-    const { removals, mostAtOnce } = upsetEntries({ entries, suspect, seed }, upset, upsets)
-    return { entries, suspect, upset: upset.name, upsets, removals, mostAtOnce, perDayTaken: upset.perDay, removalsPerEntryDay: rounded(upset.perDay * removals / upsets) }
+  return ENTRIES.flatMap(entries => SUSPECT_TIMES.flatMap(suspect => ENTRY_DISTURBANCES.map(disturbance => {
+    const upsets = DISTURBANCES_BY_ENTRIES[entries] as number
+    const { removals, mostAtOnce } = measureEntryDisturbances({ entries, suspect, seed }, disturbance, upsets)
+    return { entries, suspect, upset: disturbance.name, upsets, removals, mostAtOnce, perDayTaken: disturbance.perDay, removalsPerEntryDay: rounded(disturbance.perDay * removals / upsets) }
   })))
 }
 
-/** One row per patience and kind of loss or disturbance of an agent. */
+/** One row per pair of timeouts and type of loss or disturbance of an agent. */
 export function measureAgentLoss ({ seed }: SectionOptions): Row[] {
-  return PATIENCES.flatMap(patience => {
-    const killed = timesOf(seed, run => noticeAgent(patience, run, (fleet, agent) => fleet.kill(agent)))
-    const silent = timesOf(seed, run => noticeAgent(patience, run, (fleet, agent) => fleet.silence(agent)))
+  return TIMEOUT_CASES.flatMap(timeouts => {
+    const killed = repeatRuns(seed, run => agentDetectionTime(timeouts, run, (fleet, agent) => fleet.kill(agent)))
+    const silent = repeatRuns(seed, run => agentDetectionTime(timeouts, run, (fleet, agent) => fleet.silence(agent)))
     return [
-      { ...patience, upset: 'killed', ...spread('noticed', killed) },
-      { ...patience, upset: 'silent', ...spread('noticed', silent) },
-      ...AGENT_UPSET_KINDS.map(upset => ({ ...patience, upset: upset.name, upsets: AGENT_UPSETS, falselyLost: upsetAgents(patience, upset, seed) }))
+      { ...timeouts, upset: 'killed', ...summarize('noticed', killed) },
+      { ...timeouts, upset: 'silent', ...summarize('noticed', silent) },
+      ...AGENT_DISTURBANCES.map(disturbance => ({ ...timeouts, upset: disturbance.name, upsets: AGENT_DISTURBANCE_COUNT, falselyLost: countFalseAgentLosses(timeouts, disturbance, seed) }))
     ]
   })
 }
 
-/** A fleet of entries alone. */
-export interface EntryFleet {
+/** Options of a fleet without agents. */
+export interface EntryFleetOptions {
   entries: number
   suspect: number
   seed: number
   makeEntry?: ConstructorParameters<typeof DetectionFleet>[0]['makeEntry']
 }
 
-/** Time from the loss of an entry until no other has it in its view; the limit when some always does. */
-export function noticeEntry (options: EntryFleet, lose: (fleet: DetectionFleet, entry: FleetProcess) => void): number {
-  const fleet = entryFleet(options)
-  const lostAt = SETTLED + fleet.random() * DEFAULT_TIMINGS.heartbeat
+/** Time from the loss of an entry until it is in no other entry's view, in milliseconds; at most {@link MAX_DETECTION_TIME}. */
+export function entryDetectionTime (options: EntryFleetOptions, injectLoss: (fleet: DetectionFleet, entry: FleetProcess) => void): number {
+  const fleet = createEntryFleet(options)
+  const lostAt = SETTLE_MILLISECONDS + fleet.random() * DEFAULT_TIMINGS.heartbeat
   fleet.loop.run(lostAt)
-  const entry = randomOf(fleet, fleet.entries)
-  lose(fleet, entry)
-  return until(fleet, lostAt, () => fleet.removedEverywhere(entry.instance))
+  const entry = pickRandom(fleet, fleet.entries)
+  injectLoss(fleet, entry)
+  return timeUntil(fleet, lostAt, () => fleet.isRemovedEverywhere(entry.instance))
 }
 
-function entryFleet ({ entries, suspect, seed, makeEntry }: EntryFleet): DetectionFleet {
+function createEntryFleet ({ entries, suspect, seed, makeEntry }: EntryFleetOptions): DetectionFleet {
   return new DetectionFleet({ entries, agents: 0, timings: { ...DEFAULT_TIMINGS, suspect }, seed, ...(makeEntry === undefined ? {} : { makeEntry }) })
 }
 
-/** Removals of live entries under one kind of disturbance: all, and the most after a single one. */
-export function upsetEntries (options: EntryFleet, upset: Pick<Upset, 'act'>, upsets: number): { removals: number, mostAtOnce: number } {
-  const fleet = entryFleet(options)
-  fleet.loop.run(SETTLED)
+/** Counts the removals of live entries under one type of disturbance: in total, and at most after a single one. */
+export function measureEntryDisturbances (options: EntryFleetOptions, disturbance: Pick<Disturbance, 'act'>, upsets: number): { removals: number, mostAtOnce: number } {
+  const fleet = createEntryFleet(options)
+  fleet.loop.run(SETTLE_MILLISECONDS)
   let mostAtOnce = 0
   for (let done = 0; done < upsets; done += 1) {
     const before = fleet.counts.removals.length
-    upset.act(fleet, randomOf(fleet, fleet.entries))
-    fleet.loop.run(fleet.loop.now + UPSET_EVERY + fleet.random() * DEFAULT_TIMINGS.heartbeat)
+    disturbance.act(fleet, pickRandom(fleet, fleet.entries))
+    fleet.loop.run(fleet.loop.now + DISTURBANCE_INTERVAL + fleet.random() * DEFAULT_TIMINGS.heartbeat)
     mostAtOnce = Math.max(mostAtOnce, fleet.counts.removals.length - before)
   }
   return { removals: fleet.counts.removals.length, mostAtOnce }
 }
 
-function noticeAgent (patience: Patience, seed: number, lose: (fleet: DetectionFleet, agent: FleetProcess) => void): number {
-  const fleet = agentFleet(patience, seed)
-  const lostAt = SETTLED + fleet.random() * DEFAULT_TIMINGS.heartbeat
+function agentDetectionTime (timeouts: TimeoutCase, seed: number, injectLoss: (fleet: DetectionFleet, agent: FleetProcess) => void): number {
+  const fleet = createAgentFleet(timeouts, seed)
+  const lostAt = SETTLE_MILLISECONDS + fleet.random() * DEFAULT_TIMINGS.heartbeat
   fleet.loop.run(lostAt)
-  lose(fleet, randomOf(fleet, fleet.agents))
-  return until(fleet, lostAt, () => fleet.counts.losses.length === fleet.entries.length)
+  injectLoss(fleet, pickRandom(fleet, fleet.agents))
+  return timeUntil(fleet, lostAt, () => fleet.counts.losses.length === fleet.entries.length)
 }
 
-function agentFleet ({ agentLost, silence }: Patience, seed: number): DetectionFleet {
+function createAgentFleet ({ agentLost, silence }: TimeoutCase, seed: number): DetectionFleet {
   return new DetectionFleet({ entries: 3, agents: AGENTS, timings: { ...DEFAULT_TIMINGS, agentLost }, silence, seed })
 }
 
-/** Disturbances after which some entry had given a live agent up. */
-function upsetAgents (patience: Patience, upset: Upset, seed: number): number {
-  const fleet = agentFleet(patience, seed)
-  fleet.loop.run(SETTLED)
+/** Counts the disturbances after which some entry abandoned a live agent. */
+function countFalseAgentLosses (timeouts: TimeoutCase, disturbance: Disturbance, seed: number): number {
+  const fleet = createAgentFleet(timeouts, seed)
+  fleet.loop.run(SETTLE_MILLISECONDS)
   let lost = 0
-  for (let done = 0; done < AGENT_UPSETS; done += 1) {
+  for (let done = 0; done < AGENT_DISTURBANCE_COUNT; done += 1) {
     const before = fleet.counts.losses.length
-    upset.act(fleet, randomOf(fleet, fleet.agents))
-    fleet.loop.run(fleet.loop.now + UPSET_EVERY + SETTLED + fleet.random() * DEFAULT_TIMINGS.heartbeat)
+    disturbance.act(fleet, pickRandom(fleet, fleet.agents))
+    fleet.loop.run(fleet.loop.now + DISTURBANCE_INTERVAL + SETTLE_MILLISECONDS + fleet.random() * DEFAULT_TIMINGS.heartbeat)
     if (fleet.counts.losses.length > before) lost += 1
   }
   return lost
 }
 
-function until (fleet: DetectionFleet, from: number, holds: () => boolean): number {
-  for (let instant = from; instant < from + LIMIT; instant += 5) {
+function timeUntil (fleet: DetectionFleet, from: number, condition: () => boolean): number {
+  for (let instant = from; instant < from + MAX_DETECTION_TIME; instant += 5) {
     fleet.loop.run(instant)
-    if (holds()) return instant - from
+    if (condition()) return instant - from
   }
-  return LIMIT
+  return MAX_DETECTION_TIME
 }
 
-function timesOf (seed: number, measure: (seed: number) => number): number[] {
-  return Array.from({ length: LOSSES }, (_, run) => measure(seed * 1_000 + run))
+function repeatRuns (seed: number, measure: (seed: number) => number): number[] {
+  return Array.from({ length: RUNS_PER_LOSS }, (_, run) => measure(seed * 1_000 + run))
 }
 
-function spread (name: string, times: readonly number[]): Row {
+function summarize (name: string, times: readonly number[]): Row {
   return { [`${name}P50`]: rounded(quantile(times, 0.5), 0), [`${name}Worst`]: rounded(Math.max(...times), 0) }
 }
 
-function randomOf (fleet: DetectionFleet, processes: readonly FleetProcess[]): FleetProcess {
+function pickRandom (fleet: DetectionFleet, processes: readonly FleetProcess[]): FleetProcess {
   return processes[Math.floor(fleet.random() * processes.length)] as FleetProcess
 }
 
 function anotherEntry (fleet: DetectionFleet, subject: FleetProcess): string {
-  return randomOf(fleet, fleet.entries.filter(entry => entry !== subject)).instance
+  return pickRandom(fleet, fleet.entries.filter(entry => entry !== subject)).instance
 }
 
-function eachPeer (fleet: DetectionFleet, subject: FleetProcess, act: (peer: string) => void): void {
+function forEachPeer (fleet: DetectionFleet, subject: FleetProcess, act: (peer: string) => void): void {
   for (const { instance } of fleet.entries) if (instance !== subject.instance) act(instance)
 }
 
@@ -193,11 +194,11 @@
 }
 
 function resetAll (fleet: DetectionFleet, subject: FleetProcess): void {
-  eachPeer(fleet, subject, peer => fleet.network.reset(subject.instance, peer))
+  forEachPeer(fleet, subject, peer => fleet.network.reset(subject.instance, peer))
 }
 
-/** Both ends see the reset, then nothing passes. */
+/** Resets the connections at both ends, then partitions them. */
 function cutAndReset (fleet: DetectionFleet, subject: FleetProcess, milliseconds: number): void {
   resetAll(fleet, subject)
-  eachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, milliseconds))
+  forEachPeer(fleet, subject, peer => cutBoth(fleet, subject, peer, milliseconds))
 }
--- a/packages/bench/src/detectionstore.ts
+++ b/packages/bench/src/detectionstore.ts
@@ -1,4 +1,4 @@
-/** The key-value service as the model of a fleet needs it: one view, one version, and their watches. */
+/** Simulated store of a fleet: one view, one configuration version, and their watches. */
 import type { Instance, View } from '@amaranthmast/coordination/messages'
 import { EMPTY_VIEW } from '@amaranthmast/coordination/view'
 import type { EventLoop } from './eventloop.ts'
@@ -6,21 +6,23 @@
 
 type Outcome = 'applied' | 'conflict' | 'unknown'
 
-const ANSWER = { low: 2, high: 10 }
-/** Time limit of a call, in milliseconds. */
-const TIMEOUT = 1_000
+/** Duration of a call, in milliseconds. */
+const STORE_LATENCY = { low: 2, high: 10 }
+/** Timeout of a call, in milliseconds. */
+const CALL_TIMEOUT = 1_000
 
+/** A store with compare-and-swap of the view, and watches of the view and the configuration. */
 export class DetectionStore {
   readonly #loop: EventLoop
   readonly #random: () => number
-  readonly #cutUntil = new Map<Instance, number>()
+  readonly #unreachableUntil = new Map<Instance, number>()
   readonly calls = { reads: 0, writes: 0, watchesOpened: 0 }
   configurationVersion = 0
   down = false
   #view: View = EMPTY_VIEW
   #revision = 0
-  #viewChanged: () => void = () => {}
-  #configurationChanged: () => void = () => {}
+  #onViewChanged: () => void = () => {}
+  #onConfigurationChanged: () => void = () => {}
 
   constructor (loop: EventLoop, random: () => number) {
     this.#loop = loop
@@ -28,69 +30,72 @@
   }
 
   onViewChanged (run: () => void): void {
-    this.#viewChanged = run
+    this.#onViewChanged = run
   }
 
   onConfigurationChanged (run: () => void): void {
-    this.#configurationChanged = run
+    this.#onConfigurationChanged = run
   }
 
-  /** An operator's apply; the watches report it unless they miss it. */
+  /** Applies a configuration as an operator does. The watches report it only if `reported`. */
   apply (version: number, reported: boolean): void {
     this.configurationVersion = version
-    if (reported) this.#configurationChanged()
+    if (reported) this.#onConfigurationChanged()
   }
 
-  /** The store cannot be reached from one instance until then. */
+  /** Makes the store unreachable for one instance until the instant `until`. */
   cut (instance: Instance, until: number): void {
-    this.#cutUntil.set(instance, until)
+    this.#unreachableUntil.set(instance, until)
   }
 
+  /** Reads the view and its revision. `done` receives undefined when the call times out. */
   read (by: Instance, done: (result: { view: View, revision: number } | undefined) => void): void {
     this.calls.reads += 1
     this.#call(by, () => ({ view: this.#view, revision: this.#revision }), done, undefined)
   }
 
+  /** Reads the configuration. `done` is not called when the call times out. */
   readConfiguration (by: Instance, done: () => void): void {
     this.calls.reads += 1
     this.#call(by, () => true, result => { if (result) done() }, false)
   }
 
+  /** Writes the view if the revision is still the expected one. */
   write (by: Instance, view: View, expectedRevision: number, done: (outcome: Outcome) => void): void {
     this.calls.writes += 1
-    this.#call<Outcome>(by, () => this.#swap(view, expectedRevision), done, 'unknown')
+    this.#call<Outcome>(by, () => this.#compareAndSwap(view, expectedRevision), done, 'unknown')
   }
 
-  /** An event of a watch. */
+  /** Delivers a watch event, unless the instance cannot reach the store. */
   notify (instance: Instance, run: () => void): void {
-    const delay = this.#answer()
-    this.#loop.after(delay, () => { if (this.#reachable(instance)) run() })
+    const delay = this.#latency()
+    this.#loop.after(delay, () => { if (this.#isReachable(instance)) run() })
   }
 
-  #swap (view: View, expectedRevision: number): Outcome {
+  #compareAndSwap (view: View, expectedRevision: number): Outcome {
     if (this.#revision !== expectedRevision) return 'conflict'
     this.#view = view
     this.#revision += 1
-    this.#viewChanged()
+    this.#onViewChanged()
     return 'applied'
   }
 
-  #call<Value> (by: Instance, act: () => Value, done: (value: Value) => void, failed: Value): void {
-    this.#loop.after(this.#answer() / 2, () => {
-      if (!this.#reachable(by)) {
-        this.#loop.after(TIMEOUT, () => done(failed))
+  #call<Value> (by: Instance, operation: () => Value, done: (value: Value) => void, failureValue: Value): void {
+    this.#loop.after(this.#latency() / 2, () => {
+      if (!this.#isReachable(by)) {
+        this.#loop.after(CALL_TIMEOUT, () => done(failureValue))
         return
       }
-      const value = act()
-      this.#loop.after(this.#answer() / 2, () => done(value))
+      const value = operation()
+      this.#loop.after(this.#latency() / 2, () => done(value))
     })
   }
 
-  #reachable (instance: Instance): boolean {
-    return !this.down && this.#loop.now >= (this.#cutUntil.get(instance) ?? 0)
+  #isReachable (instance: Instance): boolean {
+    return !this.down && this.#loop.now >= (this.#unreachableUntil.get(instance) ?? 0)
   }
 
-  #answer (): number {
-    return logUniform(this.#random, ANSWER.low, ANSWER.high)
+  #latency (): number {
+    return logUniform(this.#random, STORE_LATENCY.low, STORE_LATENCY.high)
   }
 }
--- a/packages/bench/src/eventloop.ts
+++ b/packages/bench/src/eventloop.ts
@@ -1,34 +1,35 @@
-/** Virtual time: a queue of events in order of their instant, and of their making where that is equal. */
+/** Event loop with virtual time. Events at the same instant run in the order in which they were scheduled. */
 
 interface TimedEvent {
   at: number
-  order: number
+  sequence: number
   run: () => void
 }
 
-function before (one: TimedEvent, other: TimedEvent): boolean {
-  return one.at < other.at || (one.at === other.at && one.order < other.order)
+function precedes (one: TimedEvent, other: TimedEvent): boolean {
+  return one.at < other.at || (one.at === other.at && one.sequence < other.sequence)
 }
 
 /** Runs events under virtual time, in milliseconds from 0. */
 export class EventLoop {
   readonly #events: TimedEvent[] = []
-  #order = 0
+  #sequence = 0
   now = 0
 
-  /** Runs `run` at the given instant, or now when that has passed. */
+  /** Schedules `run` for the given instant, or for the current one when that has passed. */
   at (instant: number, run: () => void): void {
-    const event = { at: Math.max(this.now, instant), order: this.#order, run }
-    this.#order += 1
+    const event = { at: Math.max(this.now, instant), sequence: this.#sequence, run }
+    this.#sequence += 1
     this.#events.push(event)
-    this.#rise(this.#events.length - 1)
+    this.#siftUp(this.#events.length - 1)
   }
 
+  /** Schedules `run` to run after a delay. */
   after (milliseconds: number, run: () => void): void {
     this.at(this.now + milliseconds, run)
   }
 
-  /** Runs until no event is left or the instant is reached. */
+  /** Runs all events up to and including the instant `until`. */
   run (until: number): void {
     while (true) {
       const event = this.#events[0]
@@ -43,30 +44,30 @@
     const last = this.#events.pop() as TimedEvent
     if (this.#events.length === 0) return
     this.#events[0] = last
-    this.#sink()
+    this.#siftDown()
   }
 
-  #rise (start: number): void {
+  #siftUp (start: number): void {
     const event = this.#events[start] as TimedEvent
     let position = start
     while (position > 0) {
       const parent = (position - 1) >> 1
-      if (!before(event, this.#events[parent] as TimedEvent)) break
+      if (!precedes(event, this.#events[parent] as TimedEvent)) break
       this.#events[position] = this.#events[parent] as TimedEvent
       position = parent
     }
     this.#events[position] = event
   }
 
-  #sink (): void {
+  #siftDown (): void {
     const event = this.#events[0] as TimedEvent
     const size = this.#events.length
     let position = 0
     while (true) {
       let child = 2 * position + 1
       if (child >= size) break
-      if (child + 1 < size && before(this.#events[child + 1] as TimedEvent, this.#events[child] as TimedEvent)) child += 1
-      if (!before(this.#events[child] as TimedEvent, event)) break
+      if (child + 1 < size && precedes(this.#events[child + 1] as TimedEvent, this.#events[child] as TimedEvent)) child += 1
+      if (!precedes(this.#events[child] as TimedEvent, event)) break
       this.#events[position] = this.#events[child] as TimedEvent
       position = child
     }
--- a/packages/bench/src/faults.ts
+++ b/packages/bench/src/faults.ts
@@ -1,37 +1,40 @@
-/** Faults of targets, as tables. */
+/** Faults of simulated targets. */
 
-/** How a target misbehaves. */
+/** Type of a target's fault. */
 export enum FaultKind {
-  /** Fails each task a few milliseconds after its start. */
+  /** Fails each task {@link FAILED_RUN_MILLISECONDS} after its start. */
   Failing = 'failing',
-  /** Takes several times as long. */
+  /** Runs each task for {@link SLOWDOWN_FACTOR} times its run time. */
   Slow = 'slow',
-  /** Starts tasks and never ends them. */
+  /** Starts tasks that do not end before the fault does. */
   Hanging = 'hanging',
-  /** Its agent's link goes and comes back. */
+  /** The agent's link disconnects and reconnects periodically. */
   Flapping = 'flapping',
-  /** Refuses connections: its agent hands every task back as not started. */
+  /** Refuses connections: its agent returns every task as not started. */
   Unreachable = 'unreachable'
 }
 
-/** One fault of one target, by its number. */
+/** A fault of one target over an interval of virtual time. */
 export interface Fault {
+  /** Number of the target. */
   target: number
   kind: FaultKind
+  /** Start, in milliseconds, inclusive. */
   from: number
+  /** End, in milliseconds, exclusive. */
   until: number
 }
 
-/** Run time of a task that the target fails. */
-export const FAILING_RUN = 5
+/** Run time of a task on a failing target. */
+export const FAILED_RUN_MILLISECONDS = 5
 
-/** How many times as long a slow target takes. */
-export const SLOW_FACTOR = 4
+/** Factor by which a slow target extends run times. */
+export const SLOWDOWN_FACTOR = 4
 
-/** Time a flapping target is up, and then down. */
-export const FLAP_MILLISECONDS = 1_000
+/** Time that the link of a flapping target is down, and then up. */
+export const FLAP_INTERVAL_MILLISECONDS = 1_000
 
-/** The fault of the target at the instant, if any. */
+/** Returns the fault of a target at an instant, if there is one. */
 export function faultAt (faults: readonly Fault[], target: number, instant: number): FaultKind | undefined {
   return faults.find(fault => fault.target === target && fault.from <= instant && instant < fault.until)?.kind
 }
--- a/packages/bench/src/latencies.ts
+++ b/packages/bench/src/latencies.ts
@@ -1,7 +1,7 @@
-/** Latencies of the brief, one way, in milliseconds. */
+/** One-way network latencies of the simulation, in milliseconds. */
 
 /** Between a caller and an entry. */
-export const CLIENT_LEG = 1
+export const CLIENT_LATENCY = 1
 
-/** Between an entry and an agent, or between two entries: taken to be in different data centres. */
-export const AGENT_LEG = 0.5
+/** Between an entry and an agent, or between two entries; assumes that they are in different data centres. */
+export const AGENT_LATENCY = 0.5
--- a/packages/bench/src/model.ts
+++ b/packages/bench/src/model.ts
@@ -1,7 +1,7 @@
 /**
- * The bench's model of a small fleet: entries with the real scheduler, agents with the real slots,
- * the brief's latencies between them, virtual time. No processes, protocol, claims or store: it
- * measures decisions alone.
+ * Discrete-event simulation of a small fleet. Entries run the real scheduler, agents the real slot
+ * accounting; network latencies are fixed and time is virtual. Processes, the wire protocol, claims
+ * and the store are left out, so that only scheduling decisions are measured.
  */
 import type { Configuration } from '@amaranthmast/coordination/configuration'
 import { TaskOutcome } from '@amaranthmast/coordination/messages'
@@ -13,13 +13,13 @@
 import { Slots } from '@amaranthmast/coordination/slots'
 import { EventLoop } from './eventloop.ts'
 import type { Fault } from './faults.ts'
-import { FAILING_RUN, FaultKind, faultAt, FLAP_MILLISECONDS, SLOW_FACTOR } from './faults.ts'
-import { AGENT_LEG, CLIENT_LEG } from './latencies.ts'
+import { FAILED_RUN_MILLISECONDS, FaultKind, faultAt, FLAP_INTERVAL_MILLISECONDS, SLOWDOWN_FACTOR } from './faults.ts'
+import { AGENT_LATENCY, CLIENT_LATENCY } from './latencies.ts'
 import { seededRandom } from './random.ts'
 import type { ModelJob, ModelTask, User } from './workload.ts'
 import { profiles } from './workload.ts'
 
-/** What to run. */
+/** Workload, fleet and faults of one simulation. */
 export interface ModelOptions {
   user: User
   jobs: readonly ModelJob[]
@@ -28,24 +28,26 @@
   policy?: PolicyName
   /** @default 3 */
   entries?: number
-  /** @default the user's */
+  /** Number of targets. @default that of the user's profile */
   targets?: number
   faults?: readonly Fault[]
-  /** Targets of provider-a, from the first; the rest belong to provider-b. @default the larger half */
+  /** Number of targets of provider-a, from the first; the rest belong to provider-b. @default half, rounded up */
   targetsOfProviderA?: number
-  /** Later configurations, by the instant at which every entry has them. */
+  /** Configuration changes; each reaches all entries at the same instant. */
   changes?: ReadonlyArray<{ at: number, configuration: Configuration }>
 }
 
-/** How one job went. */
+/** Outcome of one job. */
 export interface JobRecord {
   job: ModelJob
   state: 'waiting' | 'complete' | 'failed' | 'refused' | 'late'
+  /** Response time as the caller measures it, in milliseconds; 0 while the job is waiting. */
   response: number
+  /** Wait that the refusal asks for, in milliseconds; 0 unless the job is refused. */
   retryAfter: number
 }
 
-/** One start of a task. */
+/** One dispatch or start of a task. */
 export interface StartRecord {
   at: number
   service: string
@@ -54,29 +56,32 @@
   failed: boolean
 }
 
-/** What a run yields. */
+/** Records and counters of a simulation. */
 export interface ModelResult {
   jobs: JobRecord[]
   starts: StartRecord[]
-  /** In the order in which the entries dispatched, refused ones included. */
+  /** In order of dispatch over all entries, including tasks that the agent then refuses. */
   dispatches: StartRecord[]
-  /** Items sent between entries and agents, by kind. */
+  /** Number of messages between entries and agents, by type. */
   messages: { dispatch: number, result: number, refusal: number, report: number, cancel: number }
   statuses: SchedulerStatus[]
-  /** Health of each target at each entry over time, where it was asked for. */
+  /** Number of scheduling passes over all entries. */
   decideCalls: number
 }
 
+/** A job that an entry has admitted and not yet finished. */
 interface OpenJob {
   record: JobRecord
   entry: ModelEntry
+  /** Tasks that have not succeeded yet. */
   left: number
   tasks: SchedulableTask[]
-  /** Tasks at agents, not settled. */
-  dispatched: Set<OpenTask>
+  /** Tasks dispatched to agents and not settled. */
+  dispatched: Set<DispatchedTask>
 }
 
-interface OpenTask {
+/** One dispatch of a task to an agent. */
+interface DispatchedTask {
   id: number
   open: OpenJob
   agent: ModelAgent
@@ -84,11 +89,12 @@
   task: ModelTask
 }
 
-/** An entry: the real scheduler and the jobs that it owns. */
+/** An entry: the real scheduler and the open jobs that it owns. */
 class ModelEntry {
   readonly instance: Instance
   readonly scheduler: TaskScheduler
   readonly jobs = new Map<string, OpenJob>()
+  /** Instant of the next scheduled decision, or Infinity when there is none. */
   wakeAt = Infinity
 
   constructor (instance: Instance, scheduler: TaskScheduler) {
@@ -97,13 +103,15 @@
   }
 }
 
-/** An agent: the real slots, and a target that behaves as the table of faults says. */
+/** An agent with the real slot accounting, and a simulated target that follows the table of faults. */
 class ModelAgent {
   readonly number: number
   readonly instance: Instance
   readonly description: TargetDescription
   readonly slots: Slots
-  readonly held = new Map<number, OpenTask>()
+  /** Accepted tasks by id, queued or running. */
+  readonly held = new Map<number, DispatchedTask>()
+  /** Whether the link to the entries is up. */
   linked = true
 
   constructor (number: number, description: TargetDescription) {
@@ -118,7 +126,7 @@
   }
 }
 
-/** One run of the model. */
+/** Simulates one workload on one fleet. */
 export class Model {
   readonly #options: ModelOptions
   readonly #loop = new EventLoop()
@@ -131,39 +139,39 @@
     jobs: [], starts: [], dispatches: [], messages: { dispatch: 0, result: 0, refusal: 0, report: 0, cancel: 0 }, statuses: [], decideCalls: 0
   }
 
-  #tasks = 0
+  #dispatchCount = 0
 
   constructor (options: ModelOptions) {
     this.#options = options
     this.#random = seededRandom(options.seed + 1)
     this.#faults = options.faults ?? []
-    this.#entries = Array.from({ length: options.entries ?? 3 }, (_, number) => this.#makeEntry(number))
+    this.#entries = Array.from({ length: options.entries ?? 3 }, (_, number) => this.#createEntry(number))
     const targets = options.targets ?? profiles[options.user].targets
-    this.#agents = Array.from({ length: targets }, (_, number) => this.#makeAgent(number, targets))
+    this.#agents = Array.from({ length: targets }, (_, number) => this.#createAgent(number, targets))
     this.#agentsByInstance = new Map(this.#agents.map(agent => [agent.instance, agent]))
-    this.#connect()
+    this.#registerTargets()
   }
 
-  /** Runs everything until the last job is answered, or `until`. */
+  /** Runs the simulation until no event is left, or up to the instant `until`. */
   run (until = Infinity): ModelResult {
-    for (const job of this.#options.jobs) this.#loop.at(job.sentAt, () => this.#send(job))
+    for (const job of this.#options.jobs) this.#loop.at(job.sentAt, () => this.#submit(job))
     for (const change of this.#options.changes ?? []) this.#loop.at(change.at, () => this.#configure(change.configuration))
     for (const fault of this.#faults) {
-      if (fault.kind === FaultKind.Flapping) this.#flap(fault)
+      if (fault.kind === FaultKind.Flapping) this.#scheduleFlapping(fault)
     }
     this.#loop.run(until)
     this.#result.statuses = this.#entries.map(entry => entry.scheduler.status())
     return this.#result
   }
 
-  /** Calls `look` every so many milliseconds with the entries' status, until the instant. */
-  observe (every: number, until: number, look: (now: number, statuses: SchedulerStatus[]) => void): void {
-    for (let instant = every; instant <= until; instant += every) {
-      this.#loop.at(instant, () => look(instant, this.#entries.map(entry => entry.scheduler.status())))
+  /** Calls `observer` with the status of every entry at each multiple of `interval`, up to `until`. */
+  observe (interval: number, until: number, observer: (now: number, statuses: SchedulerStatus[]) => void): void {
+    for (let instant = interval; instant <= until; instant += interval) {
+      this.#loop.at(instant, () => observer(instant, this.#entries.map(entry => entry.scheduler.status())))
     }
   }
 
-  #makeEntry (number: number): ModelEntry {
+  #createEntry (number: number): ModelEntry {
     const random = seededRandom(this.#options.seed * 31 + number)
     const scheduler = new TaskScheduler({ random, policy: this.#options.policy })
     scheduler.configure(this.#options.configuration, 0)
@@ -171,12 +179,12 @@
     return new ModelEntry(`entry-${number}#1`, scheduler)
   }
 
-  #makeAgent (number: number, targets: number): ModelAgent {
+  #createAgent (number: number, targets: number): ModelAgent {
     const profile = profiles[this.#options.user]
-    const ofProviderA = this.#options.targetsOfProviderA ?? Math.ceil(targets / 2)
+    const countOfProviderA = this.#options.targetsOfProviderA ?? Math.ceil(targets / 2)
     return new ModelAgent(number, {
       target: `target-${number}`,
-      provider: number < ofProviderA ? 'provider-a' : 'provider-b',
+      provider: number < countOfProviderA ? 'provider-a' : 'provider-b',
       services: [...profile.services],
       slots: profile.slots,
       accelerators: 0,
@@ -186,15 +194,15 @@
     })
   }
 
-  #connect (): void {
+  #registerTargets (): void {
     const instances = this.#entries.map(entry => entry.instance)
     for (const agent of this.#agents) {
       agent.slots.setEntries(instances)
-      for (const entry of this.#entries) this.#announce(agent, entry)
+      for (const entry of this.#entries) this.#registerTarget(agent, entry)
     }
   }
 
-  #announce (agent: ModelAgent, entry: ModelEntry): void {
+  #registerTarget (agent: ModelAgent, entry: ModelEntry): void {
     entry.scheduler.targetUp(agent.instance, agent.description, agent.report(entry.instance), this.#loop.now)
   }
 
@@ -205,89 +213,92 @@
     }
   }
 
-  #flap (fault: Fault): void {
+  #scheduleFlapping (fault: Fault): void {
     const agent = this.#agents[fault.target] as ModelAgent
-    for (let instant = fault.from; instant < fault.until; instant += 2 * FLAP_MILLISECONDS) {
-      this.#loop.at(instant, () => this.#link(agent, false))
-      this.#loop.at(instant + FLAP_MILLISECONDS, () => this.#link(agent, true))
+    for (let instant = fault.from; instant < fault.until; instant += 2 * FLAP_INTERVAL_MILLISECONDS) {
+      this.#loop.at(instant, () => this.#setConnected(agent, false))
+      this.#loop.at(instant + FLAP_INTERVAL_MILLISECONDS, () => this.#setConnected(agent, true))
     }
   }
 
-  #link (agent: ModelAgent, linked: boolean): void {
+  #setConnected (agent: ModelAgent, linked: boolean): void {
     agent.linked = linked
     for (const entry of this.#entries) {
-      if (linked) this.#announce(agent, entry)
+      if (linked) this.#registerTarget(agent, entry)
       else entry.scheduler.targetDown(agent.instance, this.#loop.now)
       this.#decide(entry)
     }
   }
 
-  /** The balancer picks any entry; the one that owns the job id is another one two times out of three. */
-  #send (job: ModelJob): void {
+  /**
+   * Sends a job through the load balancer, which picks an entry at random. When another entry owns
+   * the job id, as for two of three jobs with three entries, the request is forwarded to it.
+   */
+  #submit (job: ModelJob): void {
     const record: JobRecord = { job, state: 'waiting', response: 0, retryAfter: 0 }
     this.#result.jobs.push(record)
     const owner = this.#pickEntry()
-    const leg = CLIENT_LEG + (this.#pickEntry() === owner ? 0 : AGENT_LEG)
-    this.#loop.after(leg, () => this.#arrive(owner, record, leg))
+    const latency = CLIENT_LATENCY + (this.#pickEntry() === owner ? 0 : AGENT_LATENCY)
+    this.#loop.after(latency, () => this.#receiveJob(owner, record, latency))
   }
 
   #pickEntry (): ModelEntry {
     return this.#entries[Math.floor(this.#random() * this.#entries.length)] as ModelEntry
   }
 
-  #arrive (entry: ModelEntry, record: JobRecord, leg: number): void {
+  #receiveJob (entry: ModelEntry, record: JobRecord, latency: number): void {
     const { job } = record
     const { now } = this.#loop
-    const deadline = job.sentAt + job.deadlineMilliseconds - leg
+    const deadline = job.sentAt + job.deadlineMilliseconds - latency
     const tasks = job.tasks.map((task, index): SchedulableTask => ({
       job: job.key, index, tenant: job.tenant, service: job.service, needs: task.needs, runMilliseconds: task.declared, deadline
     }))
     const admission = entry.scheduler.admit(tasks, now)
     if (!admission.admitted) {
       record.retryAfter = admission.retryAfterMilliseconds
-      this.#answer(record, 'refused', leg)
+      this.#recordResponse(record, 'refused', latency)
       return
     }
-    const open = { record, entry, left: tasks.length, tasks, dispatched: new Set<OpenTask>() }
+    const open = { record, entry, left: tasks.length, tasks, dispatched: new Set<DispatchedTask>() }
     entry.jobs.set(job.key, open)
-    this.#loop.at(deadline, () => this.#expire(open, leg))
+    this.#loop.at(deadline, () => this.#handleDeadline(open, latency))
     entry.scheduler.enqueue(tasks, now)
     this.#decide(entry)
   }
 
-  #answer (record: JobRecord, state: JobRecord['state'], leg: number): void {
+  #recordResponse (record: JobRecord, state: JobRecord['state'], latency: number): void {
     if (record.state !== 'waiting') return
     record.state = state
-    record.response = this.#loop.now + leg - record.job.sentAt
+    record.response = this.#loop.now + latency - record.job.sentAt
   }
 
-  #expire (open: OpenJob, leg: number): void {
+  #handleDeadline (open: OpenJob, latency: number): void {
     if (open.record.state !== 'waiting') return
-    this.#answer(open.record, 'late', leg)
-    this.#drop(open)
+    this.#recordResponse(open.record, 'late', latency)
+    this.#cancelJob(open)
   }
 
-  /** Takes back what has not started: here, and with one message at each agent that has some of it. */
-  #drop (open: OpenJob): void {
+  /** Cancels the rest of a job: tasks queued at the entry, and with one message per agent those dispatched. */
+  #cancelJob (open: OpenJob): void {
     const { scheduler, jobs } = open.entry
     scheduler.remove(open.record.job.key)
     jobs.delete(open.record.job.key)
     const outstanding = [...open.dispatched]
     open.dispatched.clear()
-    for (const held of outstanding) scheduler.settled(held.assignment, TaskOutcome.Unspecified, 0, this.#loop.now)
-    for (const agent of new Set(outstanding.map(held => held.agent))) {
-      const there = outstanding.filter(held => held.agent === agent)
+    for (const dispatchedTask of outstanding) scheduler.settled(dispatchedTask.assignment, TaskOutcome.Unspecified, 0, this.#loop.now)
+    for (const agent of new Set(outstanding.map(dispatchedTask => dispatchedTask.agent))) {
+      const tasksAtAgent = outstanding.filter(dispatchedTask => dispatchedTask.agent === agent)
       this.#result.messages.cancel += 1
-      this.#loop.after(AGENT_LEG, () => there.forEach(held => this.#cancel(held)))
+      this.#loop.after(AGENT_LATENCY, () => tasksAtAgent.forEach(dispatchedTask => this.#cancelTask(dispatchedTask)))
     }
   }
 
-  /** A task that waits is withdrawn, one that runs is broken off. */
-  #cancel (held: OpenTask): void {
-    const { agent, id } = held
+  /** Withdraws a queued task, or aborts a running one. */
+  #cancelTask (dispatchedTask: DispatchedTask): void {
+    const { agent, id } = dispatchedTask
     if (!agent.held.has(id)) return
     if (!agent.slots.withdraw(id)) {
-      this.#end(agent, held, TaskOutcome.MayHaveRun, 0)
+      this.#finishTask(agent, dispatchedTask, TaskOutcome.MayHaveRun, 0)
       return
     }
     agent.held.delete(id)
@@ -297,7 +308,7 @@
   #decide (entry: ModelEntry): void {
     const { now } = this.#loop
     this.#result.decideCalls += 1
-    for (const assignment of entry.scheduler.decide(now)) this.#dispatch(entry, assignment)
+    for (const assignment of entry.scheduler.decide(now)) this.#dispatchTask(entry, assignment)
     const next = entry.scheduler.nextDecision(now)
     if (next === undefined || next >= entry.wakeAt) return
     entry.wakeAt = next
@@ -307,56 +318,56 @@
     })
   }
 
-  #dispatch (entry: ModelEntry, assignment: Assignment): void {
+  #dispatchTask (entry: ModelEntry, assignment: Assignment): void {
     const open = entry.jobs.get(assignment.job) as OpenJob
     const task = open.record.job.tasks[assignment.index] as ModelTask
     const agent = this.#agentsByInstance.get(assignment.agent) as ModelAgent
-    this.#tasks += 1
-    const held = { id: this.#tasks, open, agent, assignment, task }
-    open.dispatched.add(held)
+    this.#dispatchCount += 1
+    const dispatchedTask = { id: this.#dispatchCount, open, agent, assignment, task }
+    open.dispatched.add(dispatchedTask)
     this.#result.messages.dispatch += 1
     this.#result.dispatches.push({ at: this.#loop.now, service: open.record.job.service, provider: agent.description.provider, target: agent.number, failed: false })
-    this.#loop.after(AGENT_LEG, () => this.#offer(agent, held))
+    this.#loop.after(AGENT_LATENCY, () => this.#offerTask(agent, dispatchedTask))
   }
 
-  #offer (agent: ModelAgent, held: OpenTask): void {
-    const { entry } = held.open
-    const { patienceMilliseconds } = held.assignment
-    const offer = { id: held.id, entry: entry.instance, needs: held.task.needs, runMilliseconds: held.task.declared, patienceMilliseconds }
-    const taken = agent.slots.offer(offer, this.#loop.now)
-    if (taken === 'full') {
+  #offerTask (agent: ModelAgent, dispatchedTask: DispatchedTask): void {
+    const { entry } = dispatchedTask.open
+    const { patienceMilliseconds } = dispatchedTask.assignment
+    const offer = { id: dispatchedTask.id, entry: entry.instance, needs: dispatchedTask.task.needs, runMilliseconds: dispatchedTask.task.declared, patienceMilliseconds }
+    const outcome = agent.slots.offer(offer, this.#loop.now)
+    if (outcome === 'full') {
       this.#result.messages.refusal += 1
-      this.#loop.after(AGENT_LEG, () => this.#settle(held, TaskOutcome.NotStarted, 0))
+      this.#loop.after(AGENT_LATENCY, () => this.#settleTask(dispatchedTask, TaskOutcome.NotStarted, 0))
     } else {
-      agent.held.set(held.id, held)
-      if (taken === 'start') this.#start(agent, held)
+      agent.held.set(dispatchedTask.id, dispatchedTask)
+      if (outcome === 'start') this.#startTask(agent, dispatchedTask)
     }
     this.#sendReports(agent)
   }
 
-  #start (agent: ModelAgent, held: OpenTask): void {
+  #startTask (agent: ModelAgent, dispatchedTask: DispatchedTask): void {
     const fault = faultAt(this.#faults, agent.number, this.#loop.now)
     if (fault === FaultKind.Unreachable) {
-      this.#loop.after(0, () => this.#end(agent, held, TaskOutcome.NotStarted, 0))
+      this.#loop.after(0, () => this.#finishTask(agent, dispatchedTask, TaskOutcome.NotStarted, 0))
       return
     }
-    const { service } = held.open.record.job
+    const { service } = dispatchedTask.open.record.job
     const failed = fault === FaultKind.Failing
     this.#result.starts.push({ at: this.#loop.now, service, provider: agent.description.provider, target: agent.number, failed })
-    const run = failed ? FAILING_RUN : held.task.run * (fault === FaultKind.Slow ? SLOW_FACTOR : 1)
+    const run = failed ? FAILED_RUN_MILLISECONDS : dispatchedTask.task.run * (fault === FaultKind.Slow ? SLOWDOWN_FACTOR : 1)
     if (fault === FaultKind.Hanging) {
       const until = this.#faults.find(other => other.target === agent.number)?.until ?? Infinity
-      this.#loop.at(until, () => this.#end(agent, held, TaskOutcome.Failed, until))
+      this.#loop.at(until, () => this.#finishTask(agent, dispatchedTask, TaskOutcome.Failed, until))
     } else {
-      this.#loop.after(run, () => this.#end(agent, held, failed ? TaskOutcome.Failed : TaskOutcome.Succeeded, run))
+      this.#loop.after(run, () => this.#finishTask(agent, dispatchedTask, failed ? TaskOutcome.Failed : TaskOutcome.Succeeded, run))
     }
   }
 
-  #end (agent: ModelAgent, held: OpenTask, outcome: TaskOutcome, run: number): void {
-    if (!agent.held.delete(held.id)) return
-    for (const id of agent.slots.release(held.id)) this.#start(agent, agent.held.get(id) as OpenTask)
+  #finishTask (agent: ModelAgent, dispatchedTask: DispatchedTask, outcome: TaskOutcome, run: number): void {
+    if (!agent.held.delete(dispatchedTask.id)) return
+    for (const id of agent.slots.release(dispatchedTask.id)) this.#startTask(agent, agent.held.get(id) as DispatchedTask)
     this.#result.messages.result += 1
-    this.#loop.after(AGENT_LEG, () => this.#settle(held, outcome, run))
+    this.#loop.after(AGENT_LATENCY, () => this.#settleTask(dispatchedTask, outcome, run))
     this.#sendReports(agent)
   }
 
@@ -366,27 +377,27 @@
       const entry = this.#entries.find(other => other.instance === instance) as ModelEntry
       const report = agent.report(instance)
       this.#result.messages.report += 1
-      this.#loop.after(AGENT_LEG, () => {
+      this.#loop.after(AGENT_LATENCY, () => {
         entry.scheduler.targetReport(agent.instance, report, this.#loop.now)
         this.#decide(entry)
       })
     }
   }
 
-  #settle (held: OpenTask, outcome: TaskOutcome, run: number): void {
-    const { open, assignment } = held
+  #settleTask (dispatchedTask: DispatchedTask, outcome: TaskOutcome, run: number): void {
+    const { open, assignment } = dispatchedTask
     const { entry, record } = open
     const { now } = this.#loop
-    if (!open.dispatched.delete(held)) return
+    if (!open.dispatched.delete(dispatchedTask)) return
     entry.scheduler.settled(assignment, outcome, run, now)
     if (outcome === TaskOutcome.NotStarted && record.state === 'waiting') {
       entry.scheduler.enqueue([open.tasks[assignment.index] as SchedulableTask], now)
     } else if (outcome === TaskOutcome.Failed) {
-      this.#answer(record, 'failed', CLIENT_LEG)
-      this.#drop(open)
+      this.#recordResponse(record, 'failed', CLIENT_LATENCY)
+      this.#cancelJob(open)
     } else {
       open.left -= 1
-      if (open.left === 0) this.#answer(record, 'complete', CLIENT_LEG)
+      if (open.left === 0) this.#recordResponse(record, 'complete', CLIENT_LATENCY)
     }
     if (record.state !== 'waiting') entry.jobs.delete(record.job.key)
     this.#decide(entry)
--- a/packages/bench/src/random.ts
+++ b/packages/bench/src/random.ts
@@ -1,6 +1,6 @@
-/** Seeded random numbers, so that every run of the bench does the same work. */
+/** Seeded random numbers, so that every run of the bench with the same seed does the same work. */
 
-/** A generator of numbers in [0, 1) with 32 bits of state (mulberry32). */
+/** Returns a generator of numbers in [0, 1) with 32 bits of state (mulberry32). */
 export function seededRandom (seed: number): () => number {
   let state = seed >>> 0
   return () => {
@@ -11,12 +11,12 @@
   }
 }
 
-/** A number in [low, high) whose logarithm is evenly distributed. */
+/** Draws a number in [low, high) whose logarithm is uniformly distributed. */
 export function logUniform (random: () => number, low: number, high: number): number {
   return low * (high / low) ** random()
 }
 
-/** A waiting time with the given mean, as between independent arrivals. */
+/** Draws an exponentially distributed interval with the given mean, as between independent arrivals. */
 export function exponential (random: () => number, mean: number): number {
   return -Math.log(1 - random()) * mean
 }
--- a/packages/bench/test/convergence.test.ts
+++ b/packages/bench/test/convergence.test.ts
@@ -1,22 +1,22 @@
-/** The model of a change tells a good adoption from broken ones. */
+/** Tests that the simulation of a configuration change detects faulty implementations of the adoption. */
 import { test } from 'node:test'
 import type { VersionedDocument } from '@amaranthmast/coordination/adoption'
 import { ConfigurationAdoption, PeerChoice } from '@amaranthmast/coordination/adoption'
 import { expect } from 'earl'
 import type { ConvergenceOptions, ConvergenceResult } from '../src/convergencemodel.ts'
-import { applyBeforeOutage, resetLinks, runCores } from '../src/convergencecores.ts'
+import { applyBeforeOutage, resetLinks, runFleetCase } from '../src/convergencecores.ts'
 import { Disturbance, runConvergence } from '../src/convergencemodel.ts'
-import { reportsOf } from '../src/convergencereports.ts'
+import { reportTraffic } from '../src/convergencereports.ts'
 
-/** Tells nobody of what it has. */
-class MuteAdoption extends ConfigurationAdoption {
+/** Sends its configuration to no peer. */
+class NonForwardingAdoption extends ConfigurationAdoption {
   override due (): string[] {
     return []
   }
 }
 
-/** Takes whatever came last. */
-class ObligingAdoption extends ConfigurationAdoption {
+/** Adopts whatever document it received last, also an older version. */
+class LastWriteAdoption extends ConfigurationAdoption {
   #last: VersionedDocument = { version: 0, document: new Uint8Array() }
 
   override get inForce (): VersionedDocument {
@@ -30,8 +30,8 @@
   }
 }
 
-/** Sends to every peer known to be behind again and again. */
-class InsistentAdoption extends ConfigurationAdoption {
+/** Sends repeatedly to every peer that is recorded as behind. */
+class RepeatingAdoption extends ConfigurationAdoption {
   override due (): string[] {
     return this.behind()
   }
@@ -43,71 +43,73 @@
 }
 
 for (const disturbance of Object.values(Disturbance)) {
-  test(`every instance gets the change: ${disturbance}`, () => {
+  test(`every instance adopts the change: ${disturbance}`, () => {
     const { unfinished, backwards } = run(disturbance)
     expect({ unfinished, backwards }).toEqual({ unfinished: 0, backwards: 0 })
   })
 }
 
-// An operator applies a change and the store goes down. One entry has it and keeps it to itself:
-// the rest of the fleet goes on with the old shares for as long as the outage lasts.
-test('entries that pass nothing on leave the others behind', () => {
-  const { inForce, unfinished } = run(Disturbance.Outage, options => new MuteAdoption(options))
+// Guards against an entry that doesn't forward a configuration: the store goes down after one entry
+// has read a change, and the rest of the fleet applies the old shares until the outage ends.
+test('instances stay behind when entries do not forward a change', () => {
+  const { inForce, unfinished } = run(Disturbance.Outage, options => new NonForwardingAdoption(options))
   expect({ inForce: inForce.length, unfinished }).toEqual({ inForce: 1, unfinished: 13 })
 })
 
-// A replica of the store lags and answers a read with the version before the change. An entry that
-// believes it takes the change back.
-test('a step back to an older version is counted', () => {
-  const { backwards } = run(Disturbance.None, options => new ObligingAdoption(options))
+// Guards against an entry that reverts a change because a lagging replica of the store answers a
+// read with the version before it.
+test('a return to an older version is counted', () => {
+  const { backwards } = run(Disturbance.None, options => new LastWriteAdoption(options))
   expect(backwards).toBeGreaterThan(0)
 })
 
-test('documents for instances that have the version are counted as useless', () => {
-  const { useless } = run(Disturbance.None, options => new InsistentAdoption(options))
-  expect({ real: run(Disturbance.None).useless, insistent: useless > 0 }).toEqual({ real: 0, insistent: true })
+test('documents sent to instances that already have the version are counted as useless', () => {
+  const { useless } = run(Disturbance.None, options => new RepeatingAdoption(options))
+  expect({ real: run(Disturbance.None).useless, repeating: useless > 0 }).toEqual({ real: 0, repeating: true })
 })
 
 test('the same seed gives the same run', () => {
   expect(run(Disturbance.StoreUneven)).toEqual(run(Disturbance.StoreUneven))
 })
 
-const REAL = { entries: 3, agents: 11 }
+const FLEET = { entries: 3, agents: 11 }
 
-// The links of one entry are reset while nothing changes. Each end takes the other for an entry
-// without a configuration until its greeting has come, and sends it the whole document.
+// Guards against needless documents: the links of one entry are reset while nothing changes, each end
+// treats the other as an entry without a configuration until its greeting arrives, and sends it the
+// whole document.
 test('a reset of links sends no document', () => {
-  const { toEntries, toAgents } = runCores(REAL, resetLinks, 1)
+  const { toEntries, toAgents } = runFleetCase(FLEET, resetLinks, 1)
   expect({ toEntries, toAgents }).toEqual({ toEntries: 0, toAgents: 0 })
 })
 
-// An agent starts long after the last change. One entry has to tell it the version, and all do.
-test('an agent that starts is told the version by one entry', () => {
-  expect(runCores(REAL, fleet => { fleet.startAgent('agent-late') }, 1).toAgents).toEqual(1)
+// Guards against duplicates: an agent starts long after the last change, and every entry sends it the
+// version although one suffices.
+test('one entry sends the version to an agent that starts', () => {
+  expect(runFleetCase(FLEET, fleet => { fleet.startAgent('agent-late') }, 1).toAgents).toEqual(1)
 })
 
-// Of a change that 1,100 agents are told, each uses the version alone: whole documents would be
-// 32 MB a change, which is all that an entry may send.
-test('agents get no document', () => {
-  const { toAgents, bytes } = runCores({ entries: 1, agents: 11 }, fleet => fleet.store.apply(2, true), 1)
+// Agents use only the version of a configuration. Sending whole documents to 1,100 agents would take
+// 32 MB per change, which is the whole bandwidth budget of an entry.
+test('agents receive no document', () => {
+  const { toAgents, bytes } = runFleetCase({ entries: 1, agents: 11 }, fleet => fleet.store.apply(2, true), 1)
   expect({ toAgents, bytes }).toEqual({ toAgents: 11, bytes: 0 })
 })
 
-// The store goes down when one entry alone has the change. The others serve half a second longer by
-// the old shares when the one that has it waits for the store to tell them.
-test('an entry that has a change tells the others at once', () => {
-  expect(runCores(REAL, applyBeforeOutage, 1).whole).toBeLessThan(100)
+// Guards against a delay: the store goes down when only one entry has the change. If that entry waits
+// for the others to read the store, they apply the old shares for another half second.
+test('an entry that has a change sends it to the others at once', () => {
+  expect(runFleetCase(FLEET, applyBeforeOutage, 1).whole).toBeLessThan(100)
 })
 
-const BUDGETS = [
-  { story: '11 agents and 3 entries, every second', reporting: { agents: 11, entries: 3, subset: 3, interval: 1_000, peerInterval: 1_000 }, fits: 'yes' },
-  { story: '1,100 agents to all of 12 entries', reporting: { agents: 1_100, entries: 12, subset: 12, interval: 400, peerInterval: 400 }, fits: 'no: agent' },
-  { story: '1,100 agents to one of 12 entries each', reporting: { agents: 1_100, entries: 12, subset: 1, interval: 400, peerInterval: 400 }, fits: 'no: entry' },
-  { story: 'more entries than a worker has connections', reporting: { agents: 1_100, entries: 70, subset: 70, interval: 400, peerInterval: 400 }, fits: 'no: connections' }
+const BUDGET_CASES = [
+  { title: '11 agents and 3 entries, every second', reporting: { agents: 11, entries: 3, subset: 3, interval: 1_000, peerInterval: 1_000 }, fits: 'yes' },
+  { title: '1,100 agents to all of 12 entries', reporting: { agents: 1_100, entries: 12, subset: 12, interval: 400, peerInterval: 400 }, fits: 'no: agent' },
+  { title: '1,100 agents to one of 12 entries each', reporting: { agents: 1_100, entries: 12, subset: 1, interval: 400, peerInterval: 400 }, fits: 'no: entry' },
+  { title: 'more entries than a worker has connections', reporting: { agents: 1_100, entries: 70, subset: 70, interval: 400, peerInterval: 400 }, fits: 'no: connections' }
 ]
 
-for (const { story, reporting, fits } of BUDGETS) {
-  test(`budget of reports: ${story}`, () => {
-    expect(reportsOf(reporting)['fits']).toEqual(fits)
+for (const { title, reporting, fits } of BUDGET_CASES) {
+  test(`traffic budget of reports: ${title}`, () => {
+    expect(reportTraffic(reporting)['fits']).toEqual(fits)
   })
 }
