--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,7 +1,8 @@
 /**
- * Measures what the daemons use against the causes of it, on fleets of real processes on the
- * loopback: `npm run capacity -- --json`. `--only idle,load` picks series;
- * `--node=OPTIONS` are options for node itself when it runs a daemon. The last line is one JSON object.
+ * Measures the resource usage of the daemons as a function of its causes, on fleets of real processes
+ * on the loopback interface: `npm run capacity -- --json`. `--only idle,load` selects series,
+ * `--node=OPTIONS` passes options to Node.js when it runs a daemon. With `--json`, the last line is
+ * one JSON object.
  */
 import { cpus } from 'node:os'
 import { parseArgs } from 'node:util'
@@ -19,8 +20,8 @@
   }
 })
 
-/** A fit of one figure of one role over the runs of one series. */
-interface SlopeLine extends Fit {
+/** A linear fit of one figure over the runs of one series. */
+interface FittedFigure extends Fit {
   series: string
   figure: string
   causes: string[]
@@ -44,7 +45,7 @@
   'store watches': run => run.watchesOpen
 }
 
-/** Causes by series; jobs and tasks are counted per process of the role that bears them. */
+/** Causes by series. Jobs and tasks are counted per entry. */
 const CAUSES: Record<string, Record<string, Cause>> = {
   idle: { agents: run => run.agents, entries: run => run.entries },
   load: { 'jobs/s of an entry': run => run.jobsPerSecond / run.entries, 'tasks/s of an entry': run => run.tasksPerSecond / run.entries },
@@ -59,7 +60,7 @@
   retention: retentionSeries
 }
 
-function slopesOf (series: string, runs: readonly Run[]): SlopeLine[] {
+function fitFigures (series: string, runs: readonly Run[]): FittedFigure[] {
   const causes = CAUSES[series] ?? {}
   return Object.entries(FIGURES).map(([figure, value]) => ({
     series,
@@ -69,24 +70,24 @@
   }))
 }
 
-function show ({ series, figure, causes, constant, slopes, explained }: SlopeLine): void {
+function printFit ({ series, figure, causes, constant, slopes, explained }: FittedFigure): void {
   const terms = causes.map((cause, index) => `${slopes[index]?.toPrecision(3)} x ${cause}`).join(' + ')
   console.log(`${series}: ${figure} = ${constant.toPrecision(3)} + ${terms} (explained ${explained.toFixed(2)})`)
 }
 
 async function main (): Promise<void> {
-  const chosen = new Set(values.only.split(','))
+  const selected = new Set(values.only.split(','))
   const options = values.node === '' ? {} : { nodeArguments: values.node.split(' ') }
   const runs: Run[] = []
-  const slopes: SlopeLine[] = []
+  const slopes: FittedFigure[] = []
   for (const [series, measure] of Object.entries(SERIES)) {
-    if (!chosen.has(series)) continue
-    const found = await measure(options, console.log)
-    runs.push(...found)
-    slopes.push(...slopesOf(series, found))
+    if (!selected.has(series)) continue
+    const seriesRuns = await measure(options, console.log)
+    runs.push(...seriesRuns)
+    slopes.push(...fitFigures(series, seriesRuns))
   }
-  const tool: ToolRun[] = chosen.has('tool') ? await toolSeries(options, console.log) : []
-  slopes.forEach(show)
+  const tool: ToolRun[] = selected.has('tool') ? await toolSeries(options, console.log) : []
+  slopes.forEach(printFit)
   const machine = { processors: cpus().length, model: cpus()[0]?.model, node: process.version, nodeArguments: options.nodeArguments ?? [] }
   if (values.json) console.log(JSON.stringify({ machine, runs, slopes, tool }))
 }
--- a/packages/bench/src/capacityfleet.ts
+++ b/packages/bench/src/capacityfleet.ts
@@ -1,4 +1,4 @@
-/** One fleet under measurement: what its processes use per second in a window. */
+/** A fleet of real processes, and the resource usage of its processes in a time window. */
 import { readFile, writeFile } from 'node:fs/promises'
 import { dirname, join } from 'node:path'
 import { setTimeout as delay } from 'node:timers/promises'
@@ -21,42 +21,45 @@
   tenants: number
   /** Overrides of the daemons' timings, in milliseconds. */
   timings?: Readonly<Record<string, number>>
-  /** Options for node itself when it runs a daemon. */
+  /** Options for Node.js when it runs a daemon. */
   nodeArguments?: readonly string[]
 }
 
-/** Means over the processes of a role. */
+/** Mean rates over the processes of a role. */
 export interface RoleRates extends Rates {
-  /** Messages of the inner protocol sent and received per second. */
+  /** Messages between entries and agents, sent and received, per second. */
   messages: number
 }
 
-/** What one window showed. */
+/** Rates of a fleet in one time window. */
 export interface WindowRates {
   seconds: number
   entry: RoleRates
   agent: RoleRates
-  /** Bytes of the inner protocol per second on the streams that end at one entry, both directions, mean of the entries. */
+  /** Bytes per second in both directions on the streams of the inner protocol that end at one entry; mean over the entries. */
   innerBytesPerEntry: number
-  /** The store is a stand-in: only its calls mean something. */
+  /** Store calls per second by type. The store is a stand-in, so that only the number of calls is meaningful. */
   storeCallsPerSecond: Record<string, number>
   watchesOpen: number
 }
 
-interface ProcessReading {
+/** Usage of all processes, and bytes counted by the relays. */
+interface ProcessSample {
   entries: Usage[]
   agents: Usage[]
   innerBytes: number
 }
 
-interface PageReading {
-  pagesAt: number
+/** Counters read from the status pages of daemons and store. */
+interface StatusSample {
+  /** Instant of the reading. */
+  statusAt: number
   entryMessages: number
   agentMessages: number
   store: StoreCalls
 }
 
-type Reading = ProcessReading & PageReading
+type Sample = ProcessSample & StatusSample
 
 interface StoreCalls {
   reads: number
@@ -68,11 +71,11 @@
 
 const READY_TIMEOUT = 60_000
 const READY_POLL = 200
-const PAGE_SETTLE = 300
-const LAST_LINES = 5
-const COUNTED_CALLS = ['reads', 'writes', 'leases', 'watchesOpened'] as const
+const STATUS_SETTLE_MILLISECONDS = 300
+const LOG_TAIL_LINES = 5
+const STORE_CALL_TYPES = ['reads', 'writes', 'leases', 'watchesOpened'] as const
 
-/** Starts a fleet, measures it and stops it. */
+/** Starts, measures and stops a fleet. */
 export class CapacityFleet {
   readonly size: FleetSize
   readonly #fleet: Fleet
@@ -91,17 +94,16 @@
     })
   }
 
-  /** URLs of the callers' listeners. */
+  /** URLs of the entries' listeners for callers. */
   get callersUrls (): string[] {
     return this.#fleet.callersUrls
   }
 
-  /** URL of the store. */
   get storeUrl (): string {
     return this.#fleet.storeUrl
   }
 
-  /** Tenants of the configuration. */
+  /** Names of the tenants in the configuration. */
   get tenants (): string[] {
     return Array.from({ length: this.size.tenants }, (_tenant, index) => `tenant-${index}`)
   }
@@ -111,10 +113,10 @@
     return { entries: pidsOf(this.#fleet.entries), agents: pidsOf(this.#fleet.agents) }
   }
 
-  /** Starts everything. Resolves when every daemon is ready and has the first configuration. */
+  /** Starts all processes. Resolves when every daemon is ready and has the first configuration. */
   async start (): Promise<void> {
     await this.#fleet.start()
-    await Promise.all(this.#fleet.entries.map(entry => this.#restartBehindRelay(entry)))
+    await Promise.all(this.#fleet.entries.map(entry => this.#restartWithRelay(entry)))
     await this.apply()
     try {
       await waitFor('every entry and agent to be ready', READY_TIMEOUT, READY_POLL, async () => {
@@ -122,29 +124,29 @@
         return ready.every(Boolean)
       })
     } catch (error) {
-      throw new Error(`the fleet did not become ready; daemons that ended:\n${this.#lastWords()}`, { cause: error })
+      throw new Error(`the fleet did not become ready; daemons that ended:\n${this.#endedDaemonLogs()}`, { cause: error })
     }
   }
 
-  /** Applies the next version of the configuration with the tool. Resolves to its file. */
+  /** Applies the next version of the configuration with the command line tool. Resolves to its file. */
   async apply (): Promise<string> {
     const file = join(this.#fleet.folder, 'configuration.json')
-    await writeFile(file, JSON.stringify(this.#document()))
+    await writeFile(file, JSON.stringify(this.#configurationDocument()))
     const { code, log } = await this.#fleet.run('amaranthmast', ['apply', file, '--store', this.storeUrl])
     if (code !== 0) throw new Error(`amaranthmast apply ended with ${code}: ${log.join(' ')}`)
     this.#version++
     return file
   }
 
-  /** Measures for some seconds. */
+  /** Measures the fleet over the given number of seconds. */
   async measure (seconds: number): Promise<WindowRates> {
-    // The pages are read outside the window: serving them is no part of what is measured.
-    const pagesBefore = await this.#readPages()
-    await delay(PAGE_SETTLE)
-    const earlier = this.#readProcesses()
+    // The status pages are read outside the window, so that the cost of serving them is not measured.
+    const statusBefore = await this.#sampleStatus()
+    await delay(STATUS_SETTLE_MILLISECONDS)
+    const earlier = this.#sampleProcesses()
     await delay(seconds * 1000)
-    const later = this.#readProcesses()
-    return ratesOf({ ...earlier, ...pagesBefore }, { ...later, ...await this.#readPages() })
+    const later = this.#sampleProcesses()
+    return ratesOf({ ...earlier, ...statusBefore }, { ...later, ...await this.#sampleStatus() })
   }
 
   async stop (): Promise<void> {
@@ -152,16 +154,16 @@
     for (const relay of this.#relays) relay.close()
   }
 
-  /** The last lines of the daemons that do not run any more. */
-  #lastWords (): string {
+  /** Returns the last log lines of the daemons that have ended. */
+  #endedDaemonLogs (): string {
     return [...this.#fleet.entries, ...this.#fleet.agents]
       .filter(daemon => daemon.process?.isRunning !== true)
-      .map(daemon => `${daemon.id}: ${daemon.process?.log.slice(-LAST_LINES).join('\n')}`)
+      .map(daemon => `${daemon.id}: ${daemon.process?.log.slice(-LOG_TAIL_LINES).join('\n')}`)
       .join('\n')
   }
 
-  /** Restarts an entry that advertises a counting relay as its inner address. */
-  async #restartBehindRelay (entry: Daemon): Promise<void> {
+  /** Restarts an entry with a counting relay as its advertised inner address. */
+  async #restartWithRelay (entry: Daemon): Promise<void> {
     await entry.process?.stop()
     const settings = JSON.parse(await readFile(entry.settingsFile, 'utf8')) as { peers: { port: number, address: string } }
     const relay = new CountingRelay(settings.peers.port)
@@ -171,7 +173,7 @@
     await this.#fleet.startDaemon(entry)
   }
 
-  #readProcesses (): ProcessReading {
+  #sampleProcesses (): ProcessSample {
     return {
       entries: pidsOf(this.#fleet.entries).map(readUsage),
       agents: pidsOf(this.#fleet.agents).map(readUsage),
@@ -179,16 +181,16 @@
     }
   }
 
-  async #readPages (): Promise<PageReading> {
+  async #sampleStatus (): Promise<StatusSample> {
     const [entryMessages, agentMessages, store] = await Promise.all([
-      messagesOf(this.#fleet.entries.map(({ statusUrl }) => statusUrl)),
-      messagesOf(this.#fleet.agents.map(({ statusUrl }) => statusUrl)),
-      storeCalls(this.storeUrl)
+      countMessages(this.#fleet.entries.map(({ statusUrl }) => statusUrl)),
+      countMessages(this.#fleet.agents.map(({ statusUrl }) => statusUrl)),
+      readStoreCalls(this.storeUrl)
     ])
-    return { pagesAt: performance.now(), entryMessages, agentMessages, store }
+    return { statusAt: performance.now(), entryMessages, agentMessages, store }
   }
 
-  #document (): object {
+  #configurationDocument (): object {
     const shares = { 'provider-a': 50 + this.#version % 10, 'provider-b': 50 - this.#version % 10 }
     const expectedTargets = Math.floor(this.size.agents / 2)
     return {
@@ -200,25 +202,25 @@
   }
 }
 
-function pidsOf (parts: ReadonlyArray<{ process?: { pid: number } }>): number[] {
-  return parts.map(({ process }) => process?.pid ?? 0)
+function pidsOf (daemons: ReadonlyArray<{ process?: { pid: number } }>): number[] {
+  return daemons.map(({ process }) => process?.pid ?? 0)
 }
 
-function ratesOf (earlier: Reading, later: Reading): WindowRates {
+function ratesOf (earlier: Sample, later: Sample): WindowRates {
   const seconds = ((later.entries[0]?.at ?? 0) - (earlier.entries[0]?.at ?? 0)) / 1000
   const rates = (role: 'entries' | 'agents'): Rates[] =>
     later[role].flatMap((usage, index) => {
       const before = earlier[role][index]
       return before === undefined ? [] : [ratesBetween(before, usage)]
     })
-  const pageSeconds = (later.pagesAt - earlier.pagesAt) / 1000
-  const messages = (role: 'entryMessages' | 'agentMessages', count: number): number => (later[role] - earlier[role]) / pageSeconds / count
+  const statusSeconds = (later.statusAt - earlier.statusAt) / 1000
+  const messages = (role: 'entryMessages' | 'agentMessages', count: number): number => (later[role] - earlier[role]) / statusSeconds / count
   return {
     seconds,
     entry: { ...meanOf(rates('entries')), messages: messages('entryMessages', earlier.entries.length) },
     agent: { ...meanOf(rates('agents')), messages: messages('agentMessages', earlier.agents.length) },
     innerBytesPerEntry: (later.innerBytes - earlier.innerBytes) / seconds / earlier.entries.length,
-    storeCallsPerSecond: Object.fromEntries(COUNTED_CALLS.map(kind => [kind, (later.store[kind] - earlier.store[kind]) / pageSeconds])),
+    storeCallsPerSecond: Object.fromEntries(STORE_CALL_TYPES.map(type => [type, (later.store[type] - earlier.store[type]) / statusSeconds])),
     watchesOpen: later.store.watchesOpen
   }
 }
@@ -237,23 +239,23 @@
   return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length)
 }
 
-/** Sum of the messages that the processes have counted. */
-async function messagesOf (statusUrls: readonly string[]): Promise<number> {
-  const pages = await Promise.all(statusUrls.map(url => page(`${url}/metrics`)))
-  return pages.reduce((sum, text) => sum + sumOf(text, 'amaranthmast_messages_total'), 0)
+/** Returns the sum of the message counters of the processes. */
+async function countMessages (statusUrls: readonly string[]): Promise<number> {
+  const pages = await Promise.all(statusUrls.map(url => fetchText(`${url}/metrics`)))
+  return pages.reduce((sum, text) => sum + sumOfMetric(text, 'amaranthmast_messages_total'), 0)
 }
 
-function sumOf (text: string, name: string): number {
+function sumOfMetric (text: string, name: string): number {
   return text.split('\n')
     .filter(line => line.startsWith(`${name}{`))
     .reduce((sum, line) => sum + Number(line.slice(line.lastIndexOf(' ') + 1)), 0)
 }
 
-async function storeCalls (storeUrl: string): Promise<StoreCalls> {
-  return JSON.parse(await page(`${storeUrl}/standin/calls`)) as StoreCalls
+async function readStoreCalls (storeUrl: string): Promise<StoreCalls> {
+  return JSON.parse(await fetchText(`${storeUrl}/standin/calls`)) as StoreCalls
 }
 
-async function page (url: string): Promise<string> {
+async function fetchText (url: string): Promise<string> {
   const response = await request(url)
   return await response.body.text()
 }
--- a/packages/bench/src/capacityload.ts
+++ b/packages/bench/src/capacityload.ts
@@ -1,4 +1,4 @@
-/** A steady load of equal jobs, so that its cost can be divided by jobs and by tasks. */
+/** A steady load of identical jobs, so that its cost can be divided by jobs and by tasks. */
 import { setTimeout as delay } from 'node:timers/promises'
 
 import { Agent, request } from 'undici'
@@ -10,26 +10,26 @@
   tasksPerJob: number
   /** Run time of each task, in milliseconds. */
   runMilliseconds: number
-  /** Jobs are dealt to these in turn. */
+  /** Tenants of the jobs, assigned round-robin. */
   tenants: readonly string[]
   service: string
-  /** Start of the job ids. */
+  /** Prefix of the job ids. */
   prefix: string
 }
 
-const STEP_MILLISECONDS = 10
+const SUBMIT_INTERVAL_MILLISECONDS = 10
 const DEADLINE_MILLISECONDS = 30_000
 const CONNECTIONS = 256
 const STATUS_OK = 200
 
-/** Lodges jobs at their times, whether or not earlier ones are answered. */
+/** Submits jobs at a fixed rate, whether or not earlier ones are complete. */
 export class SteadyLoad {
   readonly #options: SteadyLoadOptions
   readonly #dispatcher = new Agent({ connections: CONNECTIONS })
-  readonly #open = new Set<Promise<void>>()
-  #lodged = 0
-  #complete = 0
-  #other = 0
+  readonly #pending = new Set<Promise<void>>()
+  #submitted = 0
+  #completed = 0
+  #incomplete = 0
   #lastFailure = ''
   #stopped = false
   #running: Promise<void> = Promise.resolve()
@@ -38,64 +38,66 @@
     this.#options = options
   }
 
-  /** Jobs lodged so far. */
-  get lodged (): number {
-    return this.#lodged
+  /** Number of jobs submitted so far. */
+  get submitted (): number {
+    return this.#submitted
   }
 
-  /** Jobs answered as complete so far. */
+  /** Number of jobs completed so far. */
   get complete (): number {
-    return this.#complete
+    return this.#completed
   }
 
-  /** Jobs that ended in any other way so far. */
+  /** Number of jobs that ended in any other way so far. */
   get other (): number {
-    return this.#other
+    return this.#incomplete
   }
 
-  /** What the latest job that did not end as complete was told; empty when there was none. */
+  /** Response or error of the latest job that did not complete; empty when there is none. */
   get lastFailure (): string {
     return this.#lastFailure
   }
 
+  /** Starts submitting jobs. */
   start (): void {
     this.#running = this.#run()
   }
 
-  /** Lodges nothing more. Resolves when every job has been answered. */
+  /** Stops submitting jobs. Resolves when every submitted job has been answered. */
   async stop (): Promise<void> {
     this.#stopped = true
     await this.#running
-    await Promise.all(this.#open)
+    await Promise.all(this.#pending)
     await this.#dispatcher.close()
   }
 
   async #run (): Promise<void> {
     const startedAt = performance.now()
     while (!this.#stopped) {
-      const due = Math.floor((performance.now() - startedAt) / 1000 * this.#options.jobsPerSecond)
-      while (this.#lodged < due) this.#lodge(this.#lodged++)
-      await delay(STEP_MILLISECONDS)
+      const dueCount = Math.floor((performance.now() - startedAt) / 1000 * this.#options.jobsPerSecond)
+      while (this.#submitted < dueCount) this.#submitJob(this.#submitted++)
+      await delay(SUBMIT_INTERVAL_MILLISECONDS)
     }
   }
 
-  #lodge (number: number): void {
-    const answered = this.#submit(number).then(complete => {
-      if (complete) this.#complete++
-      else this.#other++
-      this.#open.delete(answered)
+  #submitJob (number: number): void {
+    const pending = this.#postJob(number).then(complete => {
+      if (complete) this.#completed++
+      else this.#incomplete++
+      this.#pending.delete(pending)
     })
-    this.#open.add(answered)
+    this.#pending.add(pending)
   }
 
-  async #submit (number: number): Promise<boolean> {
+  async #postJob (number: number): Promise<boolean> {
     const { entries, tenants, service, prefix, tasksPerJob, runMilliseconds } = this.#options
     const task = { payload: { runMilliseconds }, runMilliseconds }
     const body = {
       job: `${prefix}-${number}`,
       tenant: tenants[number % tenants.length],
       service,
-      // The entries have been restarted at once: what is not repeatable would count as lodged before.
+      // The entries have just been restarted. They answer jobs that are not repeatable with "may have
+      // run", because the previous incarnations may have accepted them.
       repeatable: true,
       deadlineMilliseconds: DEADLINE_MILLISECONDS,
       tasks: Array.from({ length: tasksPerJob }, () => task)
--- a/packages/bench/src/capacityrelay.ts
+++ b/packages/bench/src/capacityrelay.ts
@@ -1,10 +1,10 @@
-/** A loopback TCP relay that counts the bytes of both directions. */
+/** A TCP relay on the loopback interface that counts the bytes in both directions. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 
 const LOOPBACK = '127.0.0.1'
 
-/** Relays from a port of its own to a port on the loopback. */
+/** Relays connections from its own port to another port on the loopback interface. */
 export class CountingRelay {
   readonly #server: Server
   readonly #sockets = new Set<Socket>()
@@ -14,29 +14,30 @@
     this.#server = createServer({ noDelay: true }, client => this.#relay(client, connect({ host: LOOPBACK, port, noDelay: true })))
   }
 
-  /** Bytes relayed so far, both directions together, without the headers of TCP and IP. */
+  /** Bytes relayed so far in both directions, without the headers of TCP and IP. */
   get bytes (): number {
     return this.#bytes
   }
 
-  /** Starts listening. Resolves to the port. */
+  /** Starts listening on a free port and resolves to it. */
   listen (): Promise<number> {
     return new Promise(resolve => {
       this.#server.listen(0, LOOPBACK, () => resolve((this.#server.address() as AddressInfo).port))
     })
   }
 
+  /** Stops listening and closes all connections. */
   close (): void {
     this.#server.close()
     for (const socket of this.#sockets) socket.destroy()
   }
 
   #relay (client: Socket, server: Socket): void {
-    this.#pass(client, server)
-    this.#pass(server, client)
+    this.#forward(client, server)
+    this.#forward(server, client)
   }
 
-  #pass (from: Socket, to: Socket): void {
+  #forward (from: Socket, to: Socket): void {
     this.#sockets.add(from)
     from.on('data', bytes => { this.#bytes += bytes.length })
     from.on('error', () => to.destroy())
--- a/packages/bench/src/capacityseries.ts
+++ b/packages/bench/src/capacityseries.ts
@@ -1,19 +1,19 @@
-/** The series of runs: each varies one cause and leaves the others as they are. */
+/** Series of runs, each of which varies one cause of resource usage and keeps the others constant. */
 import { CapacityFleet } from './capacityfleet.ts'
 import type { FleetSize, WindowRates } from './capacityfleet.ts'
 import { SteadyLoad } from './capacityload.ts'
-import type { ToolUse } from './capacitytool.ts'
+import type { ToolUsage } from './capacitytool.ts'
 import { measureTool } from './capacitytool.ts'
 
-/** One run: its causes and what it showed. */
-export interface Run extends WindowRates, Causes {
+/** Parameters and measured rates of one run. */
+export interface Run extends WindowRates, RunParameters {
   series: string
-  /** Jobs that did not end as complete; figures of a run that has some mean little. */
+  /** Number of jobs that did not complete. The figures of a run with any are unreliable. */
   incomplete: number
 }
 
-/** What a run varies. */
-export interface Causes {
+/** Parameters of a run that the usage may depend on. */
+export interface RunParameters {
   entries: number
   agents: number
   tenants: number
@@ -21,30 +21,30 @@
   tasksPerSecond: number
   /** Configurations applied per second. */
   changesPerSecond: number
-  /** Jobs remembered at the end of the window. */
+  /** Number of jobs that the entries retain at the end of the window. */
   jobsHeld: number
 }
 
-/** A run of the tool. */
-export interface ToolRun extends ToolUse {
+/** One run of the command line tool. */
+export interface ToolRun extends ToolUsage {
   command: string
 }
 
-/** Says how far it is. */
+/** Reports the progress of a measurement. */
 export type Progress = (text: string) => void
 
 const SETTLE_SECONDS = 25
 const IDLE_SECONDS = 15
 const LOAD_SETTLE_SECONDS = 20
 const LOAD_SECONDS = 15
-const CHANGES = 8
+const CHANGE_COUNT = 8
 const RETENTION_STEPS = 6
 const RETENTION_STEP_SECONDS = 8
 const RETENTION_RATE = 300
 const TASK_RUN_MILLISECONDS = 20
-const SMALL_TENANTS = 3
+const DEFAULT_TENANTS = 3
 
-const DEFAULT_SIZE: FleetSize = { entries: 3, agents: 6, tenants: SMALL_TENANTS }
+const DEFAULT_SIZE: FleetSize = { entries: 3, agents: 6, tenants: DEFAULT_TENANTS }
 
 /** Idle fleets of several sizes. */
 export async function idleSeries (options: Partial<FleetSize>, progress: Progress): Promise<Run[]> {
@@ -57,14 +57,14 @@
   for (const size of sizes) {
     runs.push(await withFleet({ ...DEFAULT_SIZE, ...options, ...size }, async fleet => {
       await pause(SETTLE_SECONDS)
-      return { ...causesOf(fleet), series: 'idle', incomplete: 0, ...await fleet.measure(IDLE_SECONDS) }
+      return { ...parametersOf(fleet), series: 'idle', incomplete: 0, ...await fleet.measure(IDLE_SECONDS) }
     }))
-    report(runs, progress)
+    reportLastRun(runs, progress)
   }
   return runs
 }
 
-/** Loads of several rates and job sizes. */
+/** Fleets under load, with several rates and job sizes. */
 export async function loadSeries (options: Partial<FleetSize>, progress: Progress): Promise<Run[]> {
   const loads = [
     { jobsPerSecond: 50, tasksPerJob: 1 },
@@ -76,50 +76,50 @@
   const runs: Run[] = []
   for (const load of loads) {
     runs.push(await withFleet({ ...DEFAULT_SIZE, ...options }, fleet => measureLoad(fleet, load, progress)))
-    report(runs, progress)
+    reportLastRun(runs, progress)
   }
   return runs
 }
 
-/** Configurations of several sizes, at rest and while they change. */
+/** Configurations of several sizes, while unchanged and during frequent changes. */
 export async function configurationSeries (options: Partial<FleetSize>, progress: Progress): Promise<Run[]> {
   const runs: Run[] = []
-  for (const tenants of [SMALL_TENANTS, 100, 380]) {
+  for (const tenants of [DEFAULT_TENANTS, 100, 380]) {
     const [rest, changing] = await withFleet({ ...DEFAULT_SIZE, ...options, tenants }, measureChanges)
     runs.push(rest)
-    report(runs, progress)
+    reportLastRun(runs, progress)
     runs.push(changing)
-    report(runs, progress)
+    reportLastRun(runs, progress)
   }
   return runs
 }
 
-/** Memory against the number of jobs remembered: one fleet, read again and again under a load. */
+/** Memory as a function of the number of retained jobs: one fleet, measured repeatedly under load. */
 export async function retentionSeries (options: Partial<FleetSize>, progress: Progress): Promise<Run[]> {
   return await withFleet({ ...DEFAULT_SIZE, ...options, entries: 1, agents: 2 }, async fleet => {
     const runs: Run[] = []
-    const load = newLoad(fleet, { jobsPerSecond: RETENTION_RATE, tasksPerJob: 1 }, 1)
+    const load = createLoad(fleet, { jobsPerSecond: RETENTION_RATE, tasksPerJob: 1 }, 1)
     load.start()
     await pause(LOAD_SETTLE_SECONDS)
     for (let step = 0; step < RETENTION_STEPS; step++) {
       const rates = await fleet.measure(RETENTION_STEP_SECONDS)
-      const causes = { ...causesOf(fleet), jobsPerSecond: RETENTION_RATE, tasksPerSecond: RETENTION_RATE, jobsHeld: load.lodged }
-      runs.push({ ...causes, series: 'retention', incomplete: load.other, ...rates })
-      report(runs, progress)
+      const parameters = { ...parametersOf(fleet), jobsPerSecond: RETENTION_RATE, tasksPerSecond: RETENTION_RATE, jobsHeld: load.submitted }
+      runs.push({ ...parameters, series: 'retention', incomplete: load.other, ...rates })
+      reportLastRun(runs, progress)
     }
     await load.stop()
     return runs
   })
 }
 
-/** What runs of the tool use against a fleet. */
+/** Resource usage of runs of the command line tool against a fleet. */
 export async function toolSeries (options: Partial<FleetSize>, progress: Progress): Promise<ToolRun[]> {
   return await withFleet({ ...DEFAULT_SIZE, ...options, tenants: 380 }, async fleet => {
     const runs: ToolRun[] = []
     for (const command of ['get', 'history', 'status']) {
-      const use = await measureTool([command, '--store', fleet.storeUrl])
-      runs.push({ command, ...use })
-      progress(`tool ${command}: peak ${use.peakResidentMebibytes.toFixed(0)} MiB, ${use.processorMilliseconds.toFixed(0)} ms of processor time`)
+      const usage = await measureTool([command, '--store', fleet.storeUrl])
+      runs.push({ command, ...usage })
+      progress(`tool ${command}: peak ${usage.peakResidentMebibytes.toFixed(0)} MiB, ${usage.processorMilliseconds.toFixed(0)} ms of processor time`)
     }
     return runs
   })
@@ -131,37 +131,37 @@
 }
 
 async function measureLoad (fleet: CapacityFleet, shape: LoadShape, progress: Progress): Promise<Run> {
-  const load = newLoad(fleet, shape, TASK_RUN_MILLISECONDS)
+  const load = createLoad(fleet, shape, TASK_RUN_MILLISECONDS)
   load.start()
   await pause(LOAD_SETTLE_SECONDS)
-  const lodged = load.lodged
+  const submittedBefore = load.submitted
   const rates = await fleet.measure(LOAD_SECONDS)
-  const jobsPerSecond = (load.lodged - lodged) / rates.seconds
-  const jobsHeld = load.lodged
+  const jobsPerSecond = (load.submitted - submittedBefore) / rates.seconds
+  const jobsHeld = load.submitted
   await load.stop()
-  if (load.other > 0) progress(`${load.other} jobs did not end as complete, the latest: ${load.lastFailure}`)
+  if (load.other > 0) progress(`${load.other} jobs did not complete; latest response: ${load.lastFailure}`)
   return {
-    ...causesOf(fleet), series: 'load', jobsPerSecond, tasksPerSecond: jobsPerSecond * shape.tasksPerJob, jobsHeld, incomplete: load.other, ...rates
+    ...parametersOf(fleet), series: 'load', jobsPerSecond, tasksPerSecond: jobsPerSecond * shape.tasksPerJob, jobsHeld, incomplete: load.other, ...rates
   }
 }
 
 async function measureChanges (fleet: CapacityFleet): Promise<[Run, Run]> {
   await pause(SETTLE_SECONDS)
-  const rest = { ...causesOf(fleet), series: 'configuration', incomplete: 0, ...await fleet.measure(IDLE_SECONDS) }
-  const [rates] = await Promise.all([fleet.measure(IDLE_SECONDS), applyOften(fleet, IDLE_SECONDS - 1)])
-  return [rest, { ...rest, ...rates, changesPerSecond: CHANGES / rates.seconds }]
+  const rest = { ...parametersOf(fleet), series: 'configuration', incomplete: 0, ...await fleet.measure(IDLE_SECONDS) }
+  const [rates] = await Promise.all([fleet.measure(IDLE_SECONDS), applyRepeatedly(fleet, IDLE_SECONDS - 1)])
+  return [rest, { ...rest, ...rates, changesPerSecond: CHANGE_COUNT / rates.seconds }]
 }
 
-async function applyOften (fleet: CapacityFleet, seconds: number): Promise<void> {
+async function applyRepeatedly (fleet: CapacityFleet, seconds: number): Promise<void> {
   const startedAt = performance.now()
-  for (let change = 0; change < CHANGES; change++) {
-    const due = startedAt + change * seconds * 1000 / CHANGES
+  for (let change = 0; change < CHANGE_COUNT; change++) {
+    const due = startedAt + change * seconds * 1000 / CHANGE_COUNT
     await pause(Math.max(0, due - performance.now()) / 1000)
     await fleet.apply()
   }
 }
 
-function newLoad (fleet: CapacityFleet, { jobsPerSecond, tasksPerJob }: LoadShape, runMilliseconds: number): SteadyLoad {
+function createLoad (fleet: CapacityFleet, { jobsPerSecond, tasksPerJob }: LoadShape, runMilliseconds: number): SteadyLoad {
   return new SteadyLoad({
     entries: fleet.callersUrls, tenants: fleet.tenants, service: 'label-check', prefix: 'capacity', jobsPerSecond, tasksPerJob, runMilliseconds
   })
@@ -177,11 +177,11 @@
   }
 }
 
-function causesOf ({ size: { entries, agents, tenants } }: CapacityFleet): Causes {
+function parametersOf ({ size: { entries, agents, tenants } }: CapacityFleet): RunParameters {
   return { entries, agents, tenants, jobsPerSecond: 0, tasksPerSecond: 0, changesPerSecond: 0, jobsHeld: 0 }
 }
 
-function report (runs: readonly Run[], progress: Progress): void {
+function reportLastRun (runs: readonly Run[], progress: Progress): void {
   const run = runs.at(-1)
   if (run === undefined) return
   const { entry, agent } = run
--- a/packages/bench/src/capacitytool.ts
+++ b/packages/bench/src/capacitytool.ts
@@ -1,4 +1,4 @@
-/** What one run of the tool uses. */
+/** Resource usage of one run of the command line tool. */
 import { readFileSync } from 'node:fs'
 import { dirname, join } from 'node:path'
 import { setTimeout as delay } from 'node:timers/promises'
@@ -8,19 +8,19 @@
 
 import { readUsage } from './capacityusage.ts'
 
-/** Use of one run of the tool, up to the last look before it ended. */
-export interface ToolUse {
+/** Resource usage of one run, up to the last sample before it ended. */
+export interface ToolUsage {
   peakResidentMebibytes: number
   processorMilliseconds: number
   wallMilliseconds: number
   exitCode: number | null
 }
 
-const LOOK_INTERVAL = 10
+const SAMPLE_INTERVAL = 10
 const KIBIBYTES_PER_MEBIBYTE = 1024
 
-/** Runs the tool to its end and looks at it on the way. */
-export async function measureTool (toolArguments: readonly string[]): Promise<ToolUse> {
+/** Runs the tool until it ends and samples its usage meanwhile. */
+export async function measureTool (toolArguments: readonly string[]): Promise<ToolUsage> {
   const group = new ProcessGroup()
   const startedAt = performance.now()
   const tool = group.start({
@@ -28,22 +28,22 @@
     script: join(dirname(fileURLToPath(import.meta.url)), 'amaranthmast.js'),
     arguments: toolArguments
   })
-  const use: ToolUse = { peakResidentMebibytes: 0, processorMilliseconds: 0, wallMilliseconds: 0, exitCode: null }
+  const usage: ToolUsage = { peakResidentMebibytes: 0, processorMilliseconds: 0, wallMilliseconds: 0, exitCode: null }
   while (tool.isRunning) {
-    look(tool.pid, use)
-    await delay(LOOK_INTERVAL)
+    sampleUsage(tool.pid, usage)
+    await delay(SAMPLE_INTERVAL)
   }
   await tool.ended
   await group.stop()
-  return { ...use, wallMilliseconds: performance.now() - startedAt, exitCode: tool.exitCode }
+  return { ...usage, wallMilliseconds: performance.now() - startedAt, exitCode: tool.exitCode }
 }
 
-function look (pid: number, use: ToolUse): void {
+function sampleUsage (pid: number, usage: ToolUsage): void {
   try {
     const peak = Number(/^VmHWM:\s+(\d+)/m.exec(readFileSync(`/proc/${pid}/status`, 'utf8'))?.[1] ?? 0)
-    use.peakResidentMebibytes = Math.max(use.peakResidentMebibytes, peak / KIBIBYTES_PER_MEBIBYTE)
-    use.processorMilliseconds = Math.max(use.processorMilliseconds, readUsage(pid).processorMilliseconds)
+    usage.peakResidentMebibytes = Math.max(usage.peakResidentMebibytes, peak / KIBIBYTES_PER_MEBIBYTE)
+    usage.processorMilliseconds = Math.max(usage.processorMilliseconds, readUsage(pid).processorMilliseconds)
   } catch {
-    // It ended between two looks: the last one stands.
+    // The process ended since the last sample, which remains valid.
   }
 }
--- a/packages/bench/src/convergencecores.ts
+++ b/packages/bench/src/convergencecores.ts
@@ -1,7 +1,7 @@
 /** Propagation of a configuration with the real logic of entries and agents: after an apply, a start or a reset of links. */
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import { DetectionFleet } from './detectionfleet.ts'
-import { quantile, rounded } from './measures.ts'
+import { quantile, round } from './measures.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
 /** An event in a fleet that has settled on version 1. */
@@ -57,9 +57,9 @@
     return {
       fleet: `${size.entries}/${size.agents}`,
       case: name,
-      wholeP50: rounded(medianOf(({ whole }) => whole), 0),
-      wholeWorst: rounded(Math.max(...runs.map(({ whole }) => whole)), 0),
-      atStartP50: rounded(medianOf(({ atStart }) => atStart), 0),
+      wholeP50: round(medianOf(({ whole }) => whole), 0),
+      wholeWorst: round(Math.max(...runs.map(({ whole }) => whole)), 0),
+      atStartP50: round(medianOf(({ atStart }) => atStart), 0),
       toEntriesP50: medianOf(({ toEntries }) => toEntries),
       toAgentsP50: medianOf(({ toAgents }) => toAgents),
       documentsP50: medianOf(({ toEntries, toAgents }) => toEntries + toAgents)
--- a/packages/bench/src/convergencereports.ts
+++ b/packages/bench/src/convergencereports.ts
@@ -6,7 +6,7 @@
 import { agentFrame, entryFrame, peerFrame } from '@amaranthmast/protocol/codec'
 import { AgentFrameSchema, EntryFrameSchema, PeerFrameSchema } from '@amaranthmast/protocol/inner_pb'
 import { toBinary } from '@bufbuild/protobuf'
-import { rounded } from './measures.ts'
+import { round } from './measures.ts'
 import type { Row } from './sectiontypes.ts'
 
 /** Budget of a node for control traffic, in bytes per second, and of a worker for connections. */
@@ -90,12 +90,12 @@
     interval,
     peerInterval,
     agentConnections: subset + OTHER_CONNECTIONS,
-    agentMessages: rounded(2 * exchangesOfAgent, 2),
-    agentBytes: rounded(agentBytes, 0),
-    entryConnections: rounded(agentsOfEntry + entries - 1, 0),
-    entryMessages: rounded(2 * exchangesOfEntry + peerMessages, 1),
-    entryBytes: rounded(entryBytes, 0),
-    entryBytesWithoutPackets: rounded(exchangesOfEntry * payload + peerMessages * (peerHeartbeat + FRAMING_BYTES), 0),
+    agentMessages: round(2 * exchangesOfAgent, 2),
+    agentBytes: round(agentBytes, 0),
+    entryConnections: round(agentsOfEntry + entries - 1, 0),
+    entryMessages: round(2 * exchangesOfEntry + peerMessages, 1),
+    entryBytes: round(entryBytes, 0),
+    entryBytesWithoutPackets: round(exchangesOfEntry * payload + peerMessages * (peerHeartbeat + FRAMING_BYTES), 0),
     fits: checkBudget(agentBytes, entryBytes, subset + OTHER_CONNECTIONS)
   }
 }
--- a/packages/bench/src/convergencesection.ts
+++ b/packages/bench/src/convergencesection.ts
@@ -2,7 +2,7 @@
 import { PeerChoice, Responsibility } from '@amaranthmast/coordination/adoption'
 import type { ConvergenceOptions } from './convergencemodel.ts'
 import { Disturbance, runConvergence } from './convergencemodel.ts'
-import { quantile, rounded } from './measures.ts'
+import { quantile, round } from './measures.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
 /** Size of a fleet and of its configuration, and the number of runs with different seeds. */
@@ -63,16 +63,16 @@
     wholeP50: formatMilliseconds(quantile(completionTimes, 0.5)),
     wholeP99: formatMilliseconds(quantile(completionTimes, 0.99)),
     wholeWorst: formatMilliseconds(Math.max(...completionTimes)),
-    instanceP99: rounded(quantile(results.flatMap(({ inForce }) => inForce), 0.99), 0),
+    instanceP99: round(quantile(results.flatMap(({ inForce }) => inForce), 0.99), 0),
     unfinished: results.reduce((sum, { unfinished }) => sum + unfinished, 0),
-    documents: rounded(mean(({ documents }) => documents), 1),
-    useless: rounded(mean(({ useless }) => useless), 1),
-    kilobytes: rounded(mean(({ bytes }) => bytes) / 1_000, 0),
+    documents: round(mean(({ documents }) => documents), 1),
+    useless: round(mean(({ useless }) => useless), 1),
+    kilobytes: round(mean(({ bytes }) => bytes) / 1_000, 0),
     backwards: results.reduce((sum, { backwards }) => sum + backwards, 0)
   }
 }
 
 /** Rounds to whole milliseconds; returns `never` when some instance did not adopt the change within the time limit of a run. */
 function formatMilliseconds (value: number): number | string {
-  return Number.isFinite(value) ? rounded(value, 0) : 'never'
+  return Number.isFinite(value) ? round(value, 0) : 'never'
 }
--- a/packages/bench/src/convergencestore.ts
+++ b/packages/bench/src/convergencestore.ts
@@ -1,7 +1,7 @@
 /** Number of store calls by size of the fleet, during startup and in steady state. */
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import { DetectionFleet } from './detectionfleet.ts'
-import { rounded } from './measures.ts'
+import { round } from './measures.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
 const FLEETS = [
@@ -20,7 +20,7 @@
     const started = { ...fleet.store.calls }
     fleet.loop.run(STARTUP_MILLISECONDS + steady)
     const { reads, writes, watchesOpened } = fleet.store.calls
-    const perSecond = (calls: number) => rounded(calls * 1_000 / steady, 2)
+    const perSecond = (calls: number) => round(calls * 1_000 / steady, 2)
     return {
       fleet: `${entries}/${agents}`,
       readsToStart: started.reads,
--- a/packages/bench/src/detectionnetwork.ts
+++ b/packages/bench/src/detectionnetwork.ts
@@ -103,7 +103,7 @@
   }
 
   /**
-   * Closes idle links, at most once per sweep interval. After a pause of the process itself, no link
+   * Closes idle links, at most twice a second. After a pause of the process itself, no link
    * counts as idle, because received data may be waiting.
    */
   closeIdleLinks (process: FleetProcess): void {
--- a/packages/bench/src/detectionsection.ts
+++ b/packages/bench/src/detectionsection.ts
@@ -2,7 +2,7 @@
 import { DEFAULT_TIMINGS } from '@amaranthmast/coordination/defaults'
 import type { FleetProcess } from './detectionprocess.ts'
 import { DetectionFleet } from './detectionfleet.ts'
-import { quantile, rounded } from './measures.ts'
+import { quantile, round } from './measures.ts'
 import { logUniform } from './random.ts'
 import type { Row, SectionOptions } from './sectiontypes.ts'
 
@@ -76,7 +76,7 @@
   return ENTRIES.flatMap(entries => SUSPECT_TIMES.flatMap(suspect => ENTRY_DISTURBANCES.map(disturbance => {
     const upsets = DISTURBANCES_BY_ENTRIES[entries] as number
     const { removals, mostAtOnce } = measureEntryDisturbances({ entries, suspect, seed }, disturbance, upsets)
-    return { entries, suspect, upset: disturbance.name, upsets, removals, mostAtOnce, perDayTaken: disturbance.perDay, removalsPerEntryDay: rounded(disturbance.perDay * removals / upsets) }
+    return { entries, suspect, upset: disturbance.name, upsets, removals, mostAtOnce, perDayTaken: disturbance.perDay, removalsPerEntryDay: round(disturbance.perDay * removals / upsets) }
   })))
 }
 
@@ -116,11 +116,11 @@
 }
 
 /** Counts the removals of live entries under one type of disturbance: in total, and at most after a single one. */
-export function measureEntryDisturbances (options: EntryFleetOptions, disturbance: Pick<Disturbance, 'act'>, upsets: number): { removals: number, mostAtOnce: number } {
+export function measureEntryDisturbances (options: EntryFleetOptions, disturbance: Pick<Disturbance, 'act'>, disturbanceCount: number): { removals: number, mostAtOnce: number } {
   const fleet = createEntryFleet(options)
   fleet.loop.run(SETTLE_MILLISECONDS)
   let mostAtOnce = 0
-  for (let done = 0; done < upsets; done += 1) {
+  for (let done = 0; done < disturbanceCount; done += 1) {
     const before = fleet.counts.removals.length
     disturbance.act(fleet, pickRandom(fleet, fleet.entries))
     fleet.loop.run(fleet.loop.now + DISTURBANCE_INTERVAL + fleet.random() * DEFAULT_TIMINGS.heartbeat)
@@ -168,7 +168,7 @@
 }
 
 function summarize (name: string, times: readonly number[]): Row {
-  return { [`${name}P50`]: rounded(quantile(times, 0.5), 0), [`${name}Worst`]: rounded(Math.max(...times), 0) }
+  return { [`${name}P50`]: round(quantile(times, 0.5), 0), [`${name}Worst`]: round(Math.max(...times), 0) }
 }
 
 function pickRandom (fleet: DetectionFleet, processes: readonly FleetProcess[]): FleetProcess {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,7 @@
 /**
- * The bench: `npm run bench -- --json`. Prints a table for each section, with `--json` one object
- * with all figures as its last line, and with `--report` a page with plots in report/index.html.
+ * Entry point of the bench: `npm run bench -- --json`. Prints one table per section. With `--json`,
+ * the last line is one JSON object with all figures; with `--report`, a page with plots is written to
+ * report/index.html.
  */
 import type { Row, SectionOptions } from './sectiontypes.ts'
 import { processSections, sections } from './sections.ts'
@@ -11,7 +12,7 @@
   section: string | undefined
 }
 
-/** Reads one option's value into the options. */
+/** Parses the value of one option and stores it in the options. */
 type OptionHandler = (options: BenchOptions, value: string) => void
 
 const optionHandlers: Readonly<Record<string, OptionHandler>> = {
@@ -20,7 +21,7 @@
   '--section': (options, value) => { options.section = readSection(value) }
 }
 
-/** The command line asks for something that the bench does not have. */
+/** Thrown for an invalid command line. */
 class UsageError extends Error {
   readonly code = 'USAGE'
 }
@@ -36,19 +37,19 @@
   throw new UsageError(`no section ${value}: choose one of ${Object.keys(sections).join(', ')}`)
 }
 
-function readOptions (words: readonly string[]): BenchOptions {
+function readOptions (argv: readonly string[]): BenchOptions {
   const options: BenchOptions = { json: false, report: false, section: undefined, seed: 1, seconds: 300 }
-  const left = [...words]
-  while (left.length > 0) {
-    const word = left.shift() as string
-    if (word === '--json' || word === '--report') {
-      options[word === '--json' ? 'json' : 'report'] = true
+  const args = [...argv]
+  while (args.length > 0) {
+    const option = args.shift() as string
+    if (option === '--json' || option === '--report') {
+      options[option === '--json' ? 'json' : 'report'] = true
       continue
     }
-    const handler = optionHandlers[word]
-    const value = left.shift()
+    const handler = optionHandlers[option]
+    const value = args.shift()
     if (handler === undefined || value === undefined) {
-      throw new UsageError(`cannot read ${word}: use --json, --report, --seed N, --seconds N, --section NAME`)
+      throw new UsageError(`cannot read ${option}: use --json, --report, --seed N, --seconds N, --section NAME`)
     }
     handler(options, value)
   }
@@ -65,7 +66,7 @@
   }
 }
 
-function isWanted (name: string, { section, json }: BenchOptions): boolean {
+function isSelected (name: string, { section, json }: BenchOptions): boolean {
   if (section !== undefined) return section === name
   return json || !processSections.has(name)
 }
@@ -73,7 +74,7 @@
 async function run (options: BenchOptions): Promise<void> {
   const results: Record<string, Row[]> = {}
   for (const [name, section] of Object.entries(sections)) {
-    if (!isWanted(name, options)) continue
+    if (!isSelected(name, options)) continue
     const rows = await section(options)
     results[name] = rows
     printTable(name, rows)
@@ -82,7 +83,7 @@
   if (options.json) console.log(JSON.stringify({ seed: options.seed, seconds: options.seconds, sections: results }))
 }
 
-/** The plotting libraries are loaded only when they are needed. */
+/** Writes the report page. The plotting libraries are loaded only when a report is requested. */
 async function report (options: BenchOptions, results: Readonly<Record<string, Row[]>>): Promise<void> {
   const { writeReport } = await import('./reportpage.ts')
   const { measureTimelines } = await import('./timelines.ts')
--- a/packages/bench/src/path.ts
+++ b/packages/bench/src/path.ts
@@ -1,8 +1,10 @@
 /**
- * Measures what the whole path adds to a call of a target: `npm run path -- --json`. Real processes
- * on the loopback; in every case the path and direct calls run side by side, so that both meet the
- * same machine. `--entries 1,3`, `--tasks 1,10,100` and `--loads low,busy` pick cases, `--seconds`
- * sets the length of each. The last line is one JSON object.
+ * Measures the latency that the path through entry and agent adds to a direct call of a target:
+ * `npm run path -- --json`. Runs real processes on the loopback interface. In every case, jobs and
+ * direct calls run at the same time, so that both are subject to the same load of the machine.
+ * `--entries 1,3`, `--tasks 1,10,100` and `--loads low,busy` select cases, `--seconds` sets the
+ * duration of each, and `--node=OPTIONS` passes options to Node.js when it runs a daemon. With
+ * `--json`, the last line is one JSON object.
  */
 import { cpus } from 'node:os'
 import { parseArgs } from 'node:util'
@@ -22,16 +24,16 @@
   }
 })
 
-function numbers (list: string): number[] {
+function parseNumbers (list: string): number[] {
   return list.split(',').map(Number)
 }
 
-function chosenCases (): PathCase[] {
+function selectedCases (): PathCase[] {
   const loads = Object.values(Load).filter(load => values.loads.split(',').includes(load))
-  return loads.flatMap(load => numbers(values.tasks).map(tasks => ({ load, tasks, seconds: Number(values.seconds) })))
+  return loads.flatMap(load => parseNumbers(values.tasks).map(tasks => ({ load, tasks, seconds: Number(values.seconds) })))
 }
 
-function show (row: PathRow): void {
+function printRow (row: PathRow): void {
   const { path, direct, added, processor } = row
   console.log(
     `${row.entries} entries, jobs of ${row.tasks}, ${row.load}, load average ${row.loadAverage.map(String).join(' to ')}: ` +
@@ -47,9 +49,9 @@
   try {
     await fleet.start()
     await warmUp(fleet)
-    for (const each of chosenCases()) {
-      const row = await measureCase(fleet, each)
-      show(row)
+    for (const pathCase of selectedCases()) {
+      const row = await measureCase(fleet, pathCase)
+      printRow(row)
       rows.push(row)
     }
   } finally {
@@ -60,7 +62,7 @@
 
 async function main (): Promise<void> {
   const rows: PathRow[] = []
-  for (const entries of numbers(values.entries)) rows.push(...await measureFleet(entries))
+  for (const entries of parseNumbers(values.entries)) rows.push(...await measureFleet(entries))
   const machine = { processors: cpus().length, model: cpus()[0]?.model, node: process.version }
   if (values.json) console.log(JSON.stringify({ machine, rows }))
 }
--- a/packages/bench/src/pathcase.ts
+++ b/packages/bench/src/pathcase.ts
@@ -1,22 +1,23 @@
-/** One case of the measurement of the path: a kind of job under a load. */
+/** One case of the path measurement: jobs of one size under one load. */
 import { loadavg } from 'node:os'
 import { setTimeout as delay } from 'node:timers/promises'
 
 import { Agent, request } from 'undici'
 
-import { quantile, rounded } from './measures.ts'
+import { quantile, round } from './measures.ts'
 import type { FleetUsage, PathFleet } from './pathfleet.ts'
 import { FLEET_SLOTS } from './pathfleet.ts'
 import { exponential, seededRandom } from './random.ts'
 
-/** How much is asked of the fleet. */
+/** Load of the fleet. */
 export enum Load {
-  /** One job after another. */
+  /** One job at a time. */
   Low = 'low',
-  /** 70% of the slots, jobs arriving independently of each other. */
+  /** 70% of the slots busy on average, with jobs arriving at random times. */
   Busy = 'busy'
 }
 
+/** Parameters of a case. */
 export interface PathCase {
   load: Load
   /** Tasks of each job. */
@@ -24,31 +25,32 @@
   seconds: number
 }
 
-/** Milliseconds from the request of a caller until its whole answer. */
+/** Quantiles of the milliseconds from a caller's request to its complete response. */
 export interface Latency {
   p50: number
   p99: number
   count: number
 }
 
-/** Processor milliseconds per task. */
+/** Processor time per task, in milliseconds. */
 export interface ProcessorPerTask {
   entries: number
   agents: number
-  /** Without what the fleet uses when idle. */
+  /** Net of the processor time that an idle fleet uses. */
   entriesNet: number
   agentsNet: number
 }
 
+/** Result of a case. */
 export interface PathRow extends PathCase {
   entries: number
-  /** Of the last minute, before and after. */
+  /** Load average of the machine over one minute, before and after the case. */
   loadAverage: number[]
   direct: Latency
   path: Latency
   added: { p50: number, p99: number }
   tasksPerSecond: number
-  /** Answers other than complete. */
+  /** Number of jobs that did not complete. */
   notComplete: number
   processor: ProcessorPerTask
   messagesPerTask: number
@@ -56,51 +58,51 @@
 }
 
 const RUN_MILLISECONDS = 40
-const BUSY_PART = 0.7
-const WARM_MILLISECONDS = 1500
-/** Jobs that run before anything is measured: the engine compiles what it has seen often enough. */
-const FIRST_JOBS = 4000
-const FIRST_JOBS_TOGETHER = 16
+const BUSY_FRACTION = 0.7
+const CASE_WARM_UP_MILLISECONDS = 1500
+/** Number of jobs to run before any measurement, because the JavaScript engine compiles code only after repeated use. */
+const WARM_UP_JOBS = 4000
+const WARM_UP_CONCURRENCY = 16
 const CONNECTIONS = 256
 const STATUS_OK = 200
 const SEED = 7
 
 const dispatcher = new Agent({ connections: CONNECTIONS })
-let jobs = 0
+let jobCount = 0
 
-/** Runs jobs until the processes are as they are in steady use. */
+/** Runs jobs until the processes have warmed up. */
 export async function warmUp (fleet: PathFleet): Promise<void> {
-  const last = jobs + FIRST_JOBS
-  const lodge = async (): Promise<void> => {
-    while (jobs < last) await submitJob(fleet, 1, 0)
+  const jobLimit = jobCount + WARM_UP_JOBS
+  const submitJobs = async (): Promise<void> => {
+    while (jobCount < jobLimit) await submitJob(fleet, 1, 0)
   }
-  await Promise.all(Array.from({ length: FIRST_JOBS_TOGETHER }, lodge))
+  await Promise.all(Array.from({ length: WARM_UP_CONCURRENCY }, submitJobs))
 }
 
-/** Runs the case after a short warm-up of it. */
-export async function measureCase (fleet: PathFleet, each: PathCase): Promise<PathRow> {
-  await runBoth(fleet, each, WARM_MILLISECONDS)
+/** Measures the case, after a short warm-up with the same load. */
+export async function measureCase (fleet: PathFleet, pathCase: PathCase): Promise<PathRow> {
+  await runPathAndDirect(fleet, pathCase, CASE_WARM_UP_MILLISECONDS)
   const loadBefore = loadAverage()
   const before = await fleet.usage()
-  const { direct, path, complete, notComplete } = await runBoth(fleet, each, each.seconds * 1000)
+  const { direct, path, complete, notComplete } = await runPathAndDirect(fleet, pathCase, pathCase.seconds * 1000)
   const after = await fleet.usage()
-  const tasks = complete * each.tasks
+  const tasks = complete * pathCase.tasks
   return {
-    ...each,
+    ...pathCase,
     entries: fleet.entries,
     loadAverage: [loadBefore, loadAverage()],
     direct: latencyOf(direct),
     path: latencyOf(path),
-    added: { p50: rounded(quantile(path, 0.5) - quantile(direct, 0.5), 2), p99: rounded(quantile(path, 0.99) - quantile(direct, 0.99), 2) },
-    tasksPerSecond: rounded(tasks / (after.at - before.at) * 1000, 0),
+    added: { p50: round(quantile(path, 0.5) - quantile(direct, 0.5), 2), p99: round(quantile(path, 0.99) - quantile(direct, 0.99), 2) },
+    tasksPerSecond: round(tasks / (after.at - before.at) * 1000, 0),
     notComplete,
-    processor: processorOf(fleet, before, after, tasks),
-    messagesPerTask: rounded((after.messages - before.messages) / tasks, 2),
-    bytesPerTask: rounded((after.bytes - before.bytes) / tasks, 0)
+    processor: processorPerTask(fleet, before, after, tasks),
+    messagesPerTask: round((after.messages - before.messages) / tasks, 2),
+    bytesPerTask: round((after.bytes - before.bytes) / tasks, 0)
   }
 }
 
-async function runBoth (fleet: PathFleet, { load, tasks }: PathCase, milliseconds: number): Promise<{ direct: number[], path: number[], complete: number, notComplete: number }> {
+async function runPathAndDirect (fleet: PathFleet, { load, tasks }: PathCase, milliseconds: number): Promise<{ direct: number[], path: number[], complete: number, notComplete: number }> {
   const until = performance.now() + milliseconds
   const direct: number[] = []
   const path: number[] = []
@@ -108,32 +110,32 @@
   let notComplete = 0
   const submit = async (): Promise<void> => {
     const started = performance.now()
-    const done = await submitJob(fleet, tasks)
+    const succeeded = await submitJob(fleet, tasks)
     path.push(performance.now() - started)
-    if (done) complete += 1
+    if (succeeded) complete += 1
     else notComplete += 1
   }
-  const lodging = load === Load.Low ? lodgeInTurn(submit, until) : lodgeAtRandom(submit, until, busyRate(tasks))
-  await Promise.all([lodging, callInTurn(() => callDirectly(fleet.directUrl, tasks), until, direct)])
+  const submitting = load === Load.Low ? submitSequentially(submit, until) : submitAtRandomTimes(submit, until, busyRate(tasks))
+  await Promise.all([submitting, callSequentially(() => callDirectly(fleet.directUrl, tasks), until, direct)])
   return { direct, path, complete, notComplete }
 }
 
-async function lodgeInTurn (submit: () => Promise<void>, until: number): Promise<void> {
+async function submitSequentially (submit: () => Promise<void>, until: number): Promise<void> {
   while (performance.now() < until) await submit()
 }
 
-async function lodgeAtRandom (submit: () => Promise<void>, until: number, jobsPerSecond: number): Promise<void> {
+async function submitAtRandomTimes (submit: () => Promise<void>, until: number, jobsPerSecond: number): Promise<void> {
   const random = seededRandom(SEED)
-  const open: Array<Promise<void>> = []
+  const pending: Array<Promise<void>> = []
   for (let next = performance.now(); next < until; next += exponential(random, 1000 / jobsPerSecond)) {
-    const early = next - performance.now()
-    if (early > 0) await delay(early)
-    open.push(submit())
+    const wait = next - performance.now()
+    if (wait > 0) await delay(wait)
+    pending.push(submit())
   }
-  await Promise.all(open)
+  await Promise.all(pending)
 }
 
-async function callInTurn (call: () => Promise<void>, until: number, latencies: number[]): Promise<void> {
+async function callSequentially (call: () => Promise<void>, until: number, latencies: number[]): Promise<void> {
   while (performance.now() < until) {
     const started = performance.now()
     await call()
@@ -141,17 +143,17 @@
   }
 }
 
-/** Every task of a job at once; the target runs as many as the fleet has slots. */
+/** Sends all tasks of a job to the target at once. The target has as many slots as the whole fleet. */
 async function callDirectly (url: string, tasks: number): Promise<void> {
-  const names = { 'x-amaranthmast-tenant': 'magnolia', 'x-amaranthmast-service': 'label-check', 'x-amaranthmast-job': `direct-${jobs++}` }
+  const headers = { 'x-amaranthmast-tenant': 'magnolia', 'x-amaranthmast-service': 'label-check', 'x-amaranthmast-job': `direct-${jobCount++}` }
   const calls = Array.from({ length: tasks }, (_task, index) =>
-    post(`${url}/run`, { runMilliseconds: RUN_MILLISECONDS }, { ...names, 'x-amaranthmast-task': String(index) }))
-  const done = await Promise.all(calls)
-  if (!done.every(Boolean)) throw new Error(`the target at ${url} does not run tasks that are sent to it directly`)
+    post(`${url}/run`, { runMilliseconds: RUN_MILLISECONDS }, { ...headers, 'x-amaranthmast-task': String(index) }))
+  const succeeded = await Promise.all(calls)
+  if (!succeeded.every(Boolean)) throw new Error(`the target at ${url} does not run tasks that are sent to it directly`)
 }
 
 function submitJob (fleet: PathFleet, tasks: number, runMilliseconds = RUN_MILLISECONDS): Promise<boolean> {
-  const number = jobs++
+  const number = jobCount++
   const task = { payload: { runMilliseconds }, runMilliseconds }
   const body = {
     job: `path-${number}`, tenant: 'magnolia', service: 'label-check', repeatable: false, tasks: Array.from({ length: tasks }, () => task)
@@ -166,25 +168,25 @@
 }
 
 function busyRate (tasks: number): number {
-  return FLEET_SLOTS * BUSY_PART * 1000 / RUN_MILLISECONDS / tasks
+  return FLEET_SLOTS * BUSY_FRACTION * 1000 / RUN_MILLISECONDS / tasks
 }
 
-function processorOf ({ idle }: PathFleet, before: FleetUsage, after: FleetUsage, tasks: number): ProcessorPerTask {
+function processorPerTask ({ idle }: PathFleet, before: FleetUsage, after: FleetUsage, tasks: number): ProcessorPerTask {
   const seconds = (after.at - before.at) / 1000
   const entries = after.entries - before.entries
   const agents = after.agents - before.agents
   return {
-    entries: rounded(entries / tasks),
-    agents: rounded(agents / tasks),
-    entriesNet: rounded((entries - idle.entries * seconds) / tasks),
-    agentsNet: rounded((agents - idle.agents * seconds) / tasks)
+    entries: round(entries / tasks),
+    agents: round(agents / tasks),
+    entriesNet: round((entries - idle.entries * seconds) / tasks),
+    agentsNet: round((agents - idle.agents * seconds) / tasks)
   }
 }
 
 function latencyOf (values: readonly number[]): Latency {
-  return { p50: rounded(quantile(values, 0.5), 2), p99: rounded(quantile(values, 0.99), 2), count: values.length }
+  return { p50: round(quantile(values, 0.5), 2), p99: round(quantile(values, 0.99), 2), count: values.length }
 }
 
 function loadAverage (): number {
-  return rounded(loadavg()[0] ?? 0, 1)
+  return round(loadavg()[0] ?? 0, 1)
 }
--- a/packages/bench/src/pathfleet.ts
+++ b/packages/bench/src/pathfleet.ts
@@ -1,4 +1,4 @@
-/** The fleet that the path is measured on, and one more target that is called directly. */
+/** The fleet of the path measurement, and a separate target that is called directly. */
 import { writeFile } from 'node:fs/promises'
 import { dirname, join } from 'node:path'
 import { setTimeout as delay } from 'node:timers/promises'
@@ -13,22 +13,22 @@
 import type { Usage } from './capacityusage.ts'
 import { readUsage } from './capacityusage.ts'
 
-/** Slots over all targets of the fleet, and of the target that is called directly. */
+/** Number of slots of all targets of the fleet together, and of the directly called target. */
 export const FLEET_SLOTS = 32
 
-/** What the processes of a fleet have used from their start on. */
+/** Cumulative usage of the processes of a fleet since their start. */
 export interface FleetUsage {
   at: number
   /** Processor time in milliseconds. */
   entries: number
   agents: number
-  /** Bytes read and written by entries and agents, those to and from callers and targets included. */
+  /** Bytes read and written by entries and agents, including traffic with callers and targets. */
   bytes: number
-  /** Messages of the inner protocol received, those between entries included. */
+  /** Messages of the inner protocol received by entries and agents, including those between entries. */
   messages: number
 }
 
-/** Processor time of an idle fleet, in milliseconds a second. */
+/** Processor time of an idle fleet, in milliseconds per second. */
 export interface IdleRates {
   entries: number
   agents: number
@@ -40,10 +40,11 @@
 const READY_POLL = 100
 const IDLE_MILLISECONDS = 3000
 
+/** Starts, measures and stops the fleet and the directly called target. */
 export class PathFleet {
   readonly entries: number
   readonly #fleet: Fleet
-  readonly #group = new ProcessGroup()
+  readonly #processGroup = new ProcessGroup()
   readonly #programs = dirname(fileURLToPath(import.meta.url))
   #directUrl = ''
   #idle: IdleRates = { entries: 0, agents: 0 }
@@ -53,12 +54,12 @@
     this.#fleet = new Fleet({ programs: this.#programs, entries, agents: AGENTS, slots: SLOTS, logLevel: 'warn', nodeArguments })
   }
 
-  /** URLs of the callers' listeners. */
+  /** URLs of the entries' listeners for callers. */
   get callersUrls (): string[] {
     return this.#fleet.callersUrls
   }
 
-  /** URL of the target that belongs to no agent. */
+  /** URL of the directly called target, which has no agent. */
   get directUrl (): string {
     return this.#directUrl
   }
@@ -67,20 +68,20 @@
     return this.#idle
   }
 
-  /** Starts everything, with a configuration in force, and measures it idle. */
+  /** Starts all processes, applies a configuration and measures the idle fleet. */
   async start (): Promise<void> {
     await this.#fleet.start()
-    await this.#apply()
+    await this.#applyConfiguration()
     const daemons = [...this.#fleet.entries, ...this.#fleet.agents]
     await waitFor('every entry and agent to be ready', READY_TIMEOUT, READY_POLL, async () =>
       (await Promise.all(daemons.map(daemon => this.#fleet.isReady(daemon)))).every(Boolean))
-    await this.#startDirect()
+    await this.#startDirectTarget()
     await this.#measureIdle()
   }
 
-  /** Reads what has been used so far. */
+  /** Reads the usage since the start. */
   async usage (): Promise<FleetUsage> {
-    const messages = await this.#messages()
+    const messages = await this.#receivedMessages()
     const entries = this.#fleet.entries.map(({ process }) => usageOf(process))
     const agents = this.#fleet.agents.map(({ process }) => usageOf(process))
     return {
@@ -94,10 +95,10 @@
 
   async stop (): Promise<void> {
     await this.#fleet.stop()
-    await this.#group.stop()
+    await this.#processGroup.stop()
   }
 
-  async #apply (): Promise<void> {
+  async #applyConfiguration (): Promise<void> {
     const file = join(this.#fleet.folder, 'configuration.json')
     const shares = { 'provider-a': 50, 'provider-b': 50 }
     await writeFile(file, JSON.stringify({
@@ -110,14 +111,14 @@
     if (code !== 0) throw new Error(`amaranthmast apply ended with ${code}: ${log.join(' ')}`)
   }
 
-  async #startDirect (): Promise<void> {
-    const target = await this.#group.launch({
+  async #startDirectTarget (): Promise<void> {
+    const target = await this.#processGroup.launch({
       name: 'target-direct',
       script: join(this.#programs, 'target.js'),
       arguments: ['--id', 'target-direct', '--slots', String(FLEET_SLOTS)],
       readyLine: line => line.startsWith('{"listening"')
     })
-    const line = target.log.find(each => each.startsWith('{"listening"')) ?? '{}'
+    const line = target.log.find(logLine => logLine.startsWith('{"listening"')) ?? '{}'
     const { listening } = JSON.parse(line) as { listening: number }
     this.#directUrl = `http://127.0.0.1:${listening}`
   }
@@ -131,8 +132,8 @@
     this.#idle = { entries: (later.entries - earlier.entries) / seconds, agents: (later.agents - earlier.agents) / seconds }
   }
 
-  async #messages (): Promise<number> {
-    const texts = await Promise.all([...this.#fleet.entries, ...this.#fleet.agents].map(({ statusUrl }) => metricsOf(statusUrl)))
+  async #receivedMessages (): Promise<number> {
+    const texts = await Promise.all([...this.#fleet.entries, ...this.#fleet.agents].map(({ statusUrl }) => fetchMetrics(statusUrl)))
     const received = texts.flatMap(text => text.split('\n')).filter(line => line.startsWith('amaranthmast_messages_total{') && line.includes('direction="received"'))
     return sum(received.map(line => Number(line.slice(line.lastIndexOf(' ') + 1))))
   }
@@ -142,7 +143,7 @@
   return readUsage(process?.pid ?? 0)
 }
 
-async function metricsOf (statusUrl: string): Promise<string> {
+async function fetchMetrics (statusUrl: string): Promise<string> {
   const response = await request(`${statusUrl}/metrics`)
   return await response.body.text()
 }
--- a/packages/bench/src/plots.ts
+++ b/packages/bench/src/plots.ts
@@ -1,31 +1,32 @@
-/** The plots of the report page: which figures of which section go where. */
+/** The plots of the report page, and the figures that each shows. */
 import type { Row } from './sectiontypes.ts'
 
-/** One plot. */
+/** Definition of one plot. */
 export interface Plot {
-  /** Section, or timeline, whose rows it draws. */
+  /** Section or time series that provides the rows. */
   section: string
   title: string
-  /** What a reader should look for. */
+  /** Explanation for readers of the page. */
   note: string
-  /** Columns, one series each. */
+  /** Columns to plot; several columns become one series each. */
   values: readonly string[]
   x: string
   xTitle: string
   yTitle: string
   mark: 'bar' | 'line'
-  /** Column that tells the series of a single value apart. */
+  /** Column by which a single value is split into series. */
   series?: string
   /** Column by which the plot is split into panels. */
   panels?: string
-  /** Horizontal line of the target, where there is one. */
+  /** Value of the goal, drawn as a horizontal line. */
   goal?: number
+  /** Whether the x axis of a line plot is logarithmic. */
   logarithmic?: boolean
-  /** Rows to draw. @default all */
+  /** Selects the rows to draw. @default all rows */
   only?: (row: Row) => boolean
 }
 
-/** The plots in their order on the page. */
+/** The plots, in their order on the page. */
 export const plots: readonly Plot[] = [
   {
     section: 'policies',
@@ -156,7 +157,7 @@
   }
 ]
 
-/** The rows of a plot, with the columns that it draws made ready. */
+/** Returns the rows of a plot, with calculated columns added. */
 export function rowsOf (plot: Plot, results: Readonly<Record<string, readonly Row[]>>): Row[] {
   const rows = (results[plot.section] ?? []).filter(row => plot.only?.(row) ?? true)
   return rows.map(row => plot.section === 'shares' ? { ...row, case: `${row['share']} / ${row['entries']}` } : row)
--- a/packages/bench/src/reportpage.ts
+++ b/packages/bench/src/reportpage.ts
@@ -1,4 +1,4 @@
-/** The report page: one SVG for each plot, in a page that needs nothing else. */
+/** The report page: a self-contained HTML page with one SVG per plot. */
 import { mkdir, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 
@@ -13,20 +13,20 @@
 const PANEL_HEIGHT = 240
 const PAGE_WIDTH = 960
 
-/** Writes the page into the folder. Resolves to its file. Sections without rows are left out. */
+/** Writes the page to a folder and resolves to its path. Plots without rows are left out. */
 export async function writeReport (folder: string, results: Readonly<Record<string, readonly Row[]>>): Promise<string> {
   await mkdir(folder, { recursive: true })
-  const drawn: string[] = []
+  const figures: string[] = []
   for (const plot of plots) {
     const rows = rowsOf(plot, results)
-    if (rows.length > 0) drawn.push(figure(plot, await drawPlot(plot, rows)))
+    if (rows.length > 0) figures.push(figureOf(plot, await drawPlot(plot, rows)))
   }
   const file = join(folder, 'index.html')
-  await writeFile(file, pageOf('Bench of amaranthmast', drawn))
+  await writeFile(file, pageOf('Bench of amaranthmast', figures))
   return file
 }
 
-/** The plot as the text of an SVG. */
+/** Renders a plot as SVG. */
 export async function drawPlot (plot: Plot, rows: readonly Row[]): Promise<string> {
   const view = new View(parse(compile(specification(plot, rows)).spec), { renderer: 'none' })
   return await view.toSVG()
@@ -62,12 +62,12 @@
   return [{ mark: { type: 'bar' }, encoding: { x, y, ...colour, ...(folded ? { xOffset: { field: 'figure', sort: null } } : {}) } }]
 }
 
-function figure ({ title, note }: Plot, svg: string): string {
+function figureOf ({ title, note }: Plot, svg: string): string {
   return `<section>\n<h2>${title}</h2>\n<p>${note}</p>\n${svg}\n</section>`
 }
 
-/** A page of sections that needs nothing else. */
-export function pageOf (title: string, drawn: readonly string[]): string {
+/** Returns a self-contained HTML page with the given sections. */
+export function pageOf (title: string, sections: readonly string[]): string {
   return `<!doctype html>
 <html lang="en">
 <head>
@@ -81,7 +81,7 @@
 </head>
 <body>
 <h1>${title}</h1>
-${drawn.join('\n')}
+${sections.join('\n')}
 </body>
 </html>
 `
--- a/packages/bench/src/sections.ts
+++ b/packages/bench/src/sections.ts
@@ -1,4 +1,4 @@
-/** The sections of the bench by name. A further section is a further line of the table. */
+/** The sections of the bench by name. To add a section, add it to `sections`. */
 import type { Section } from './sectiontypes.ts'
 import { measureCores } from './convergencecores.ts'
 import { measureReports } from './convergencereports.ts'
@@ -13,10 +13,10 @@
 import { measureShares } from './sharesection.ts'
 import { measureTenants } from './tenantsection.ts'
 
-/** Sections that start processes: they run when they are asked for by name, or all figures are. */
+/** Sections that start processes. They run only when selected by name, or with `--json`. */
 export const processSections: ReadonlySet<string> = new Set(['processes'])
 
-/** The sections in the order in which they run. */
+/** The sections, in the order in which they run. */
 export const sections: Readonly<Record<string, Section>> = {
   policies: measurePolicies,
   shares: measureShares,
--- a/packages/bench/src/sectiontypes.ts
+++ b/packages/bench/src/sectiontypes.ts
@@ -1,14 +1,14 @@
-/** What the sections of the bench share. */
+/** Types shared by the sections of the bench. */
 
-/** What every section is given. */
+/** Options of every section. */
 export interface SectionOptions {
   seed: number
-  /** Virtual time that a run covers. */
+  /** Duration of a run in virtual time. */
   seconds: number
 }
 
-/** Figures for one row of a table. */
+/** One row of a table, by column. */
 export type Row = Record<string, string | number>
 
-/** One section: measures, and returns the rows of its table. */
+/** Runs one section and returns the rows of its table. */
 export type Section = (options: SectionOptions) => Row[] | Promise<Row[]>
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -1,36 +1,41 @@
 /**
- * A model of the users' work: arrivals in bursts, jobs of 1 to 140 tasks, run times from 50 ms to
- * several seconds, and declarations that are often wrong.
+ * Synthetic workload of the users: bursty arrivals, jobs of 1 to 140 tasks, run times from 50 ms to
+ * several seconds, and declared run times that are often wrong.
  */
 import type { Configuration } from '@amaranthmast/coordination/configuration'
 import type { TaskNeeds } from '@amaranthmast/coordination/messages'
 import { exponential, logUniform, seededRandom } from './random.ts'
 
-/** One of the users of the brief. */
+/** User whose workload is generated. */
 export enum User {
   Magnolia = 'magnolia',
   Vaalrand = 'vaalrand'
 }
 
-/** A range and how often a value falls into it. */
-interface Range {
+/** A range [low, high) of values. */
+interface WeightedRange {
+  /** Fraction of all values that fall into the range. */
   part: number
   low: number
   high: number
 }
 
-/** What one user's work and fleet look like. */
+/** Fleet and workload of one user. */
 export interface Profile {
   dataCentres: number
   targets: number
+  /** Slots of each target. */
   slots: number
+  /** Memory of each target. */
   memoryMegabytes: number
-  jobSizes: readonly Range[]
-  runTimes: readonly Range[]
+  /** Tasks per job. */
+  jobSizes: readonly WeightedRange[]
+  /** Run times of tasks, in milliseconds. */
+  runTimes: readonly WeightedRange[]
   services: readonly string[]
 }
 
-/** The users of the brief at their sizes of today. */
+/** Profiles of the users at their current sizes. */
 export const profiles: Readonly<Record<User, Profile>> = {
   [User.Magnolia]: {
     dataCentres: 3,
@@ -52,80 +57,85 @@
   }
 }
 
-/** Arrivals: most of the time below the mean rate, in bursts far above it. */
+/** Arrival rates, as multiples of the mean rate, and mean durations of quiet and burst phases. */
 const QUIET_RATE = 0.85
 const BURST_RATE = 1.6
 const QUIET_MILLISECONDS = 8_000
 const BURST_MILLISECONDS = 2_000
 
-/** Declarations: a part is missing, a part is off by up to ten times either way. */
-const UNDECLARED_PART = 0.25
-const WRONG_PART = 0.25
-const ROUGHLY_RIGHT = 0.2
+/** Fraction of the tasks without a declared run time, and of those whose declaration is wrong by up to a factor of ten either way. */
+const UNDECLARED_FRACTION = 0.25
+const WRONG_FRACTION = 0.25
+/** Largest relative error of the other declarations. */
+const MAX_DECLARATION_ERROR = 0.2
 
-/** One task with its true run time. */
+/** One task. */
 export interface ModelTask {
+  /** Actual run time, in milliseconds. */
   run: number
+  /** Declared run time, in milliseconds; 0 when not declared. */
   declared: number
   needs: TaskNeeds
 }
 
-/** One job as its caller sends it. */
+/** One job, as sent by its caller. */
 export interface ModelJob {
   key: string
   tenant: string
   service: string
-  /** Instant at which the caller sends it, in milliseconds. */
+  /** Instant at which the caller sends the job, in milliseconds. */
   sentAt: number
   deadlineMilliseconds: number
   tasks: ModelTask[]
 }
 
-/** What work to make. */
+/** Options for generating a workload. */
 export interface WorkloadOptions {
   user: User
-  /** Offered work as a part of what all slots can do. */
+  /** Offered work as a fraction of the capacity of all slots. */
   load: number
+  /** Duration over which jobs are sent. */
   milliseconds: number
   seed: number
+  /** @default the user */
   tenant?: string
   /** @default 30000 */
   deadlineMilliseconds?: number
-  /** Number of slots that `load` is a part of. @default all of the user's */
+  /** Number of slots that `load` refers to. @default all slots of the user's profile */
   slots?: number
   needs?: TaskNeeds
 }
 
-function drawRange (ranges: readonly Range[], random: () => number): Range {
-  let left = random()
+function drawRange (ranges: readonly WeightedRange[], random: () => number): WeightedRange {
+  let remaining = random()
   for (const range of ranges) {
-    left -= range.part
-    if (left < 0) return range
+    remaining -= range.part
+    if (remaining < 0) return range
   }
-  return ranges[ranges.length - 1] as Range
+  return ranges[ranges.length - 1] as WeightedRange
 }
 
-function meanRun (ranges: readonly Range[]): number {
+function meanRunTime (ranges: readonly WeightedRange[]): number {
   return ranges.reduce((sum, { part, low, high }) => sum + part * (high - low) / Math.log(high / low), 0)
 }
 
-function meanSize (ranges: readonly Range[]): number {
+function meanJobSize (ranges: readonly WeightedRange[]): number {
   return ranges.reduce((sum, { part, low, high }) => sum + part * (low + high - 1) / 2, 0)
 }
 
-function declare (run: number, random: () => number): number {
-  const kind = random()
-  if (kind < UNDECLARED_PART) return 0
-  if (kind < UNDECLARED_PART + WRONG_PART) return run * 10 ** (2 * random() - 1)
-  return run * (1 + ROUGHLY_RIGHT * (2 * random() - 1))
+function drawDeclaredRunTime (run: number, random: () => number): number {
+  const draw = random()
+  if (draw < UNDECLARED_FRACTION) return 0
+  if (draw < UNDECLARED_FRACTION + WRONG_FRACTION) return run * 10 ** (2 * random() - 1)
+  return run * (1 + MAX_DECLARATION_ERROR * (2 * random() - 1))
 }
 
-/** Makes the jobs of one run, in order of their sending. */
+/** Generates the jobs of one run, in the order in which they are sent. */
 export function makeJobs (options: WorkloadOptions): ModelJob[] {
   const profile = profiles[options.user]
   const random = seededRandom(options.seed)
   const slots = options.slots ?? profile.targets * profile.slots
-  const jobsPerMillisecond = options.load * slots / (meanRun(profile.runTimes) * meanSize(profile.jobSizes))
+  const jobsPerMillisecond = options.load * slots / (meanRunTime(profile.runTimes) * meanJobSize(profile.jobSizes))
   const jobs: ModelJob[] = []
   let now = 0
   let bursting = false
@@ -152,13 +162,13 @@
   const tasks = Array.from({ length: size }, () => {
     const range = drawRange(profile.runTimes, random)
     const run = logUniform(random, range.low, range.high)
-    return { run, declared: declare(run, random), needs: options.needs ?? { accelerators: 0, memoryMegabytes: 0 } }
+    return { run, declared: drawDeclaredRunTime(run, random), needs: options.needs ?? { accelerators: 0, memoryMegabytes: 0 } }
   })
   const service = profile.services[Math.floor(random() * profile.services.length)] as string
   return { key: `${tenant}/${number}`, tenant, service, sentAt, deadlineMilliseconds: options.deadlineMilliseconds ?? 30_000, tasks }
 }
 
-/** A configuration in which two providers serve all services of the user at the given shares. */
+/** Returns a configuration in which two providers serve all services of the user with the given shares. */
 export function configurationFor (user: User, shares: Readonly<Record<string, number>>, tenants: Configuration['tenants'] = {}): Configuration {
   const unlimited = { tasksPerSecond: 0, burst: 0, slots: 0, weight: 1 }
   return {
--- a/packages/bench/test/capacityslopes.test.ts
+++ b/packages/bench/test/capacityslopes.test.ts
@@ -1,4 +1,4 @@
-/** The fit behind the capacity page. */
+/** Tests the linear fit of the capacity measurement. */
 import { test } from 'node:test'
 
 import { expect } from 'earl'
@@ -14,7 +14,7 @@
   expect(explained).toBeCloseTo(1, 1e-9)
 })
 
-test('a fit through scattered values explains a part of them', () => {
+test('a fit through scattered values explains a fraction of their variance', () => {
   const effects = [1, 5, 2, 8]
   const { constant, slopes, explained } = fit(effects.map((effect, index) => ({ causes: [index], effect })))
   expect(constant).toBeCloseTo(1.3, 1e-9)
--- a/packages/bench/test/measures.test.ts
+++ b/packages/bench/test/measures.test.ts
@@ -2,10 +2,10 @@
 import { expect } from 'earl'
 import { FaultKind } from '../src/faults.ts'
 import { emptyFleetResponse, idealResponses } from '../src/ideal.ts'
-import { largestShareError, messageRatio, quantile } from '../src/measures.ts'
+import { maxShareError, messageRatio, quantile } from '../src/measures.ts'
 import { Model } from '../src/model.ts'
 import type { StartRecord } from '../src/model.ts'
-import { modelJob } from '../src/processsection.ts'
+import { toModelJob } from '../src/processsection.ts'
 import type { ModelJob } from '../src/workload.ts'
 import { configurationFor, makeJobs, profiles, User } from '../src/workload.ts'
 
@@ -30,8 +30,8 @@
   const even = Array.from({ length: 8 }, (_, index) => start(index % 2 === 0 ? 'provider-a' : 'provider-b'))
   const run = Array.from({ length: 4 }, () => start('provider-a'))
   const other = Array.from({ length: 4 }, () => ({ ...start('provider-b'), service: 'delivery-record' }))
-  expect(largestShareError(even, 'label-check', 'provider-a', 50, 4)).toEqual(0)
-  expect(largestShareError([...even, ...run, ...other], 'label-check', 'provider-a', 50, 4)).toEqual(50)
+  expect(maxShareError(even, 'label-check', 'provider-a', 50, 4)).toEqual(0)
+  expect(maxShareError([...even, ...run, ...other], 'label-check', 'provider-a', 50, 4)).toEqual(50)
 })
 
 test('the minimum of messages is one dispatch and one result per task', () => {
@@ -92,6 +92,6 @@
 
 test('a planned job is converted with its actual and its declared run times', () => {
   const submission = { job: 'j', tenant: 't', service: 's', repeatable: true, deadlineMilliseconds: 500, tasks: [{ payload: { runMilliseconds: 40 }, runMilliseconds: 90 }] }
-  const made = modelJob({ at: 7, submission })
+  const made = toModelJob({ at: 7, submission })
   expect([made.sentAt, made.deadlineMilliseconds, made.tasks[0]?.run, made.tasks[0]?.declared]).toEqual([7, 500, 40, 90])
 })
