--- a/packages/dispatch/explore/faults.ts
+++ b/packages/dispatch/explore/faults.ts
@@ -42,7 +42,7 @@
   freezeEntry: world => world.entries[anyEntry(world)]?.freeze(300 + world.random.next() * 4000),
   freezeAgent: world => world.freezeAgent(anyAgent(world), 300 + world.random.next() * 4000),
   crashWorker: world => world.workers[anyAgent(world)]?.crash(100 + world.random.next() * 3000),
-  lateOrders: world => world.workers[anyAgent(world)]?.carryOutLate(2000, 0.5),
+  lateOrders: world => world.workers[anyAgent(world)]?.executeLate(2000, 0.5),
   loseAnswers: world => world.workers[anyAgent(world)]?.loseAnswers(200 + world.random.next() * 2500),
   cutOne: world => world.cut(anyEntry(world), anyAgent(world), 300 + world.random.next() * 4000),
   cutEntry: world => {
@@ -92,7 +92,7 @@
 
 const CANCEL_FAULTS: Readonly<Record<string, Fault>> = {
   cancelWave: world => world.cancels.wave(),
-  lateOrders: world => world.workers[anyAgent(world)]?.carryOutLate(2000, 0.5),
+  lateOrders: world => world.workers[anyAgent(world)]?.executeLate(2000, 0.5),
   loseAnswers: world => world.workers[anyAgent(world)]?.loseAnswers(200 + world.random.next() * 1000),
   removeEntry: world => world.removeEntry(anyEntry(world), 6000),
   removeAgent: world => world.restartAgent(anyAgent(world), 6000),
@@ -122,18 +122,18 @@
     resize(world, agent, 6000)
     world.restartAgent(agent, 30 + world.random.next() * 1500)
   },
-  notice: world => world.workers[anyAgent(world)]?.leave(500 + world.random.next() * 4000, { states: true, back: 300 + world.random.next() * 1000 }),
+  notice: world => world.workers[anyAgent(world)]?.leave(500 + world.random.next() * 4000, { announcesEnd: true, restartsAfter: 300 + world.random.next() * 1000 }),
   noticeAndRestart: world => {
     const agent = anyAgent(world)
-    world.workers[agent]?.leave(2000 + world.random.next() * 3000, { states: true, back: 300 })
+    world.workers[agent]?.leave(2000 + world.random.next() * 3000, { announcesEnd: true, restartsAfter: 300 })
     world.timeline.after(200, () => world.restartAgent(agent, 100, 300))
   }
 }
 
 /** The target has a part of its capacity for a while. */
 function resize (world: World, agent: number, milliseconds: number): void {
-  world.workers[agent]?.setSize(0.2 + world.random.next() * 0.6)
-  world.timeline.after(milliseconds, () => world.workers[agent]?.setSize(1))
+  world.workers[agent]?.setCapacityFraction(0.2 + world.random.next() * 0.6)
+  world.timeline.after(milliseconds, () => world.workers[agent]?.setCapacityFraction(1))
 }
 
 const PARTITION_FAULTS: Readonly<Record<string, Fault>> = {
@@ -202,7 +202,7 @@
 
 /** A target deregisters after a notice, and ends a little later. */
 function deregister (world: World, refuses: boolean): void {
-  world.workers[anyAgent(world)]?.leave(world.random.next() * 1000, { back: 300 + world.random.next() * 1000, lingers: 1 + world.random.next() * 199, refuses })
+  world.workers[anyAgent(world)]?.leave(world.random.next() * 1000, { restartsAfter: 300 + world.random.next() * 1000, lingers: 1 + world.random.next() * 199, refuses })
 }
 
 /** Some agents are late, and their orders to stop lost. */
--- a/packages/dispatch/explore/world.ts
+++ b/packages/dispatch/explore/world.ts
@@ -3,7 +3,7 @@
 import type { AgentGuards } from '../src/agentcontext.ts'
 import type { AnswerKind, EntryEffect, EntryEvent } from '../src/entrytypes.ts'
 import type { FleetGuards } from '../src/fleetguards.ts'
-import type { TargetTraits } from '@amaranthmast/emulator/emulatedtarget'
+import type { TargetOptions } from '@amaranthmast/emulator/emulatedtarget'
 import type { AgentProcess, EntryProcess } from '@amaranthmast/emulator/linkends'
 import { SeededRandom } from '@amaranthmast/standins/random'
 import { Callers, endsFirst } from './callers.ts'
@@ -182,7 +182,7 @@
     const entry = this.entries[index] as EntryProcess
     if (!entry.alive) return
     entry.kill()
-    this.#peers.ended(index, false)
+    this.#peers.entryEnded(index, false)
     this.agents.forEach((_agent, agent) => this.#connections.closeByEntry(pairOf(index, agent)))
     this.callers.breakOff(index)
     this.timeline.after(milliseconds, () => {
@@ -257,7 +257,7 @@
     }))
   }
 
-  #traits (dataCentre: string, agent: AgentProcess): TargetTraits {
+  #traits (dataCentre: string, agent: AgentProcess): TargetOptions {
     return {
       service: 'service',
       dataCentre,
@@ -266,7 +266,7 @@
       clockRate: 1 - CLOCK_SLOWNESS * this.random.next(),
       longestLease: BOUNDS.longestLease,
       heartbeat: HEARTBEAT,
-      news: NEWS,
+      capacityGrace: NEWS,
       rejectsOverload: !this.#changing,
       refusesOtherLives: !this.#keepNames,
       pollsWait: this.#dataCentres > 1 || this.#late,
@@ -344,7 +344,7 @@
 
   #dials (index: number, other: number): boolean {
     const pair = pairOf(index, other)
-    return [this.entries[index], this.agents[other]].every(process => process?.alive === true && !process.frozen) && !this.#connections.isCut(pair) && !this.#connections.get(pair)
+    return [this.entries[index], this.agents[other]].every(process => process?.alive === true && !process.frozen) && !this.#connections.isCut(pair) && !this.#connections.has(pair)
   }
 
   #dial (index: number, other: number): void {
--- a/packages/emulator/src/callers.ts
+++ b/packages/emulator/src/callers.ts
@@ -81,12 +81,12 @@
     })
   }
 
-  /** @param silent callers get no sign of it */
-  entryEnded (entry: number, silent: boolean): void {
+  /** @param powerLost callers get no sign of it */
+  entryEnded (entry: number, powerLost: boolean): void {
     for (const [request, caller] of this.#waiting) {
       if (caller.entry !== entry) continue
       this.#waiting.delete(request)
-      if (!silent) this.#comeBack(caller.job)
+      if (!powerLost) this.#comeBack(caller.job)
     }
   }
 
@@ -105,7 +105,7 @@
   }
 
   #chooseEntry (dataCentre: string): number | undefined {
-    const serving = [...this.#plan.entries.keys()].filter(index => this.#fleet().serves(index))
+    const serving = [...this.#plan.entries.keys()].filter(index => this.#fleet().isServing(index))
     const near = serving.filter(index => this.#plan.entries[index]?.dataCentre === dataCentre)
     if (serving.length === 0) return undefined
     return this.#random.pick(near.length > 0 ? near : serving)
--- a/packages/emulator/src/calltroubles.ts
+++ b/packages/emulator/src/calltroubles.ts
@@ -3,28 +3,28 @@
 import type { Timeline } from './timeline.ts'
 
 /** A call on the same machine takes this long one way, in milliseconds. */
-const FASTEST_CALL = 0.2
-const CALL_SPREAD = 2
+const MIN_TRAVEL = 0.2
+const TRAVEL_RANGE = 2
 
 /** An order that is carried out late is so by this much, in milliseconds. */
-const LATE_LEAST = 2000
-const LATE_SPREAD = 10_000
+const MIN_ORDER_DELAY = 2000
+const ORDER_DELAY_RANGE = 10_000
 
 /** A slow answer takes this much longer, in milliseconds. */
-const SLOW_LEAST = 50
-const SLOW_SPREAD = 350
+const MIN_ANSWER_DELAY = 50
+const ANSWER_DELAY_RANGE = 350
 
 /** Part of the orders under way that are carried out though their connections break. */
-const ARRIVED_SHARE = 0.5
+const EXECUTED_FRACTION = 0.5
 
 /** A share of the calls until a time. */
-interface Spell {
+interface ActivePeriod {
   until: number
   share: number
 }
 
 /** How one call fares. Durations in milliseconds. */
-export interface CallFate {
+export interface CallOutcome {
   /** It waits inside the target, and is carried out late. */
   late: boolean
   /** Its answer is lost. */
@@ -39,9 +39,9 @@
   readonly #timeline: Timeline
   readonly #random: SeededRandom
   /** Orders that are lost to the caller and carried out late. */
-  #late: Spell = { until: 0, share: 0 }
+  #lateOrders: ActivePeriod = { until: 0, share: 0 }
   /** Answers are lost until then, while orders are carried out. */
-  #deaf: Spell = { until: 0, share: 0 }
+  #lostAnswers: ActivePeriod = { until: 0, share: 0 }
   #slowUntil = 0
   #stopsLostUntil = 0
   #refusesUntil = 0
@@ -51,12 +51,12 @@
     this.#random = random
   }
 
-  carryOutLate (milliseconds: number, share: number): void {
-    this.#late = { until: this.#timeline.now + milliseconds, share }
+  executeLate (milliseconds: number, share: number): void {
+    this.#lateOrders = { until: this.#timeline.now + milliseconds, share }
   }
 
   loseAnswers (milliseconds: number, share: number): void {
-    this.#deaf = { until: this.#timeline.now + milliseconds, share }
+    this.#lostAnswers = { until: this.#timeline.now + milliseconds, share }
   }
 
   answerSlowly (milliseconds: number): void {
@@ -72,7 +72,7 @@
   }
 
   /** Another life listens. */
-  listenAgain (): void {
+  acceptCalls (): void {
     this.#refusesUntil = 0
   }
 
@@ -86,28 +86,28 @@
   }
 
   /** Draws how the next call fares. */
-  next (): CallFate {
+  next (): CallOutcome {
     const { now } = this.#timeline
-    const late = now < this.#late.until && this.#random.next() < this.#late.share
-    const lost = late || this.#isDeaf()
-    if (late) return { late, lost, order: LATE_LEAST + this.#random.next() * LATE_SPREAD, answer: 0 }
-    const slowness = now < this.#slowUntil ? SLOW_LEAST + this.#random.next() * SLOW_SPREAD : 0
+    const late = now < this.#lateOrders.until && this.#random.next() < this.#lateOrders.share
+    const lost = late || this.#losesAnswer()
+    if (late) return { late, lost, order: MIN_ORDER_DELAY + this.#random.next() * ORDER_DELAY_RANGE, answer: 0 }
+    const slowness = now < this.#slowUntil ? MIN_ANSWER_DELAY + this.#random.next() * ANSWER_DELAY_RANGE : 0
     const order = slowness === 0 ? 0 : slowness * this.#random.next()
-    return { late, lost, order: order + this.travel(), answer: slowness - order }
+    return { late, lost, order: order + this.travelTime(), answer: slowness - order }
   }
 
   /** Time of a call one way, in milliseconds. */
-  travel (): number {
-    return FASTEST_CALL + this.#random.next() * CALL_SPREAD
+  travelTime (): number {
+    return MIN_TRAVEL + this.#random.next() * TRAVEL_RANGE
   }
 
   /** Whether an order whose connection broke under way is carried out nevertheless. */
-  arrivesBroken (): boolean {
-    return this.#random.next() < ARRIVED_SHARE
+  executesDespiteDisconnect (): boolean {
+    return this.#random.next() < EXECUTED_FRACTION
   }
 
-  #isDeaf (): boolean {
-    if (this.#timeline.now >= this.#deaf.until) return false
-    return this.#deaf.share === 1 || this.#random.next() < this.#deaf.share
+  #losesAnswer (): boolean {
+    if (this.#timeline.now >= this.#lostAnswers.until) return false
+    return this.#lostAnswers.share === 1 || this.#random.next() < this.#lostAnswers.share
   }
 }
--- a/packages/emulator/src/connections.ts
+++ b/packages/emulator/src/connections.ts
@@ -1,15 +1,15 @@
 /** Connections between entries and agents: ordered, delayed, and held up or broken by faults. */
 import type { Timeline } from './timeline.ts'
 
-export interface End {
+export interface LinkEnd {
   linked: () => void
   received: (message: unknown) => void
   unlinked: () => void
 }
 
 interface Connection {
-  entry: End
-  agent: End
+  entry: LinkEnd
+  agent: LinkEnd
   entryOpen: boolean
   agentOpen: boolean
   /** Earliest arrival of the next message at each end: messages of one direction stay in order. */
@@ -19,18 +19,18 @@
 
 export class Connections {
   readonly #timeline: Timeline
-  readonly #travel: (pair: string) => number
+  readonly #travelTime: (pair: string) => number
   readonly #connections = new Map<string, Connection>()
   /** Until when a pair is cut. */
   readonly #cuts = new Map<string, number>()
 
-  /** @param travel how long the next message of a pair travels, in milliseconds */
-  constructor (timeline: Timeline, travel: (pair: string) => number) {
+  /** @param travelTime how long the next message of a pair travels, in milliseconds */
+  constructor (timeline: Timeline, travelTime: (pair: string) => number) {
     this.#timeline = timeline
-    this.#travel = travel
+    this.#travelTime = travelTime
   }
 
-  get (pair: string): boolean {
+  has (pair: string): boolean {
     return this.#connections.has(pair)
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** A new connection replaces an earlier one: its ends hear of that, and nothing of the old one is heard. */
-  open (pair: string, entry: End, agent: End): void {
+  open (pair: string, entry: LinkEnd, agent: LinkEnd): void {
     this.#connections.get(pair)?.agent.unlinked()
     const connection: Connection = { entry, agent, entryOpen: true, agentOpen: true, atEntry: 0, atAgent: 0 }
     this.#connections.set(pair, connection)
@@ -57,19 +57,19 @@
     if (connection?.entryOpen !== true) return
     connection.entryOpen = false
     connection.entry.unlinked()
-    this.#deliver(pair, connection, 'atAgent', () => this.#agentHears(pair, connection))
+    this.#deliver(pair, connection, 'atAgent', () => this.#closeAgentEnd(pair, connection))
   }
 
   /** Both ends lose it without a sign, as when a machine loses power. */
-  vanish (pair: string): void {
+  drop (pair: string): void {
     this.#connections.delete(pair)
   }
 
   closeByAgent (pair: string): void {
     const connection = this.#connections.get(pair)
     if (connection?.agentOpen !== true) return
-    this.#agentHears(pair, connection)
-    this.#deliver(pair, connection, 'atEntry', () => this.#entryHears(pair, connection))
+    this.#closeAgentEnd(pair, connection)
+    this.#deliver(pair, connection, 'atEntry', () => this.#closeEntryEnd(pair, connection))
   }
 
   toAgent (pair: string, message: unknown): void {
@@ -84,29 +84,29 @@
     this.#deliver(pair, connection, 'atEntry', () => { if (connection.entryOpen) connection.entry.received(message) })
   }
 
-  #agentHears (pair: string, connection: Connection): void {
+  #closeAgentEnd (pair: string, connection: Connection): void {
     if (!connection.agentOpen || this.#connections.get(pair) !== connection) return
     connection.agentOpen = false
     connection.agent.unlinked()
-    this.#forget(pair, connection)
+    this.#removeIfClosed(pair, connection)
   }
 
-  #entryHears (pair: string, connection: Connection): void {
+  #closeEntryEnd (pair: string, connection: Connection): void {
     if (!connection.entryOpen || this.#connections.get(pair) !== connection) return
     connection.entryOpen = false
     connection.entry.unlinked()
-    this.#forget(pair, connection)
+    this.#removeIfClosed(pair, connection)
   }
 
-  #forget (pair: string, connection: Connection): void {
+  #removeIfClosed (pair: string, connection: Connection): void {
     if (!connection.entryOpen && !connection.agentOpen) this.#connections.delete(pair)
   }
 
   /** What a cut holds up arrives after it, as long as the connection is the pair's present one. */
   #deliver (pair: string, connection: Connection, direction: 'atEntry' | 'atAgent', action: () => void): void {
     const { now } = this.#timeline
-    const travel = this.#travel(pair)
-    const arrival = Math.max(now + travel, connection[direction] + 0.001, (this.#cuts.get(pair) ?? 0) + travel)
+    const travelTime = this.#travelTime(pair)
+    const arrival = Math.max(now + travelTime, connection[direction] + 0.001, (this.#cuts.get(pair) ?? 0) + travelTime)
     connection[direction] = arrival
     this.#timeline.after(arrival - now, () => {
       if (this.#connections.get(pair) === connection) action()
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -30,7 +30,7 @@
   const callers = new Callers(plan, timeline, random, () => fleet)
   const fleet = new EmulatedFleet(plan, timeline, random, policy, {
     answered: (request, answer) => callers.answered(request, answer),
-    entryEnded: (entry, silent) => callers.entryEnded(entry, silent),
+    entryEnded: (entry, powerLost) => callers.entryEnded(entry, powerLost),
     ...(note === undefined ? {} : { note: (process, what, fields) => note(timeline.now - LEAD_MILLISECONDS, process, what, fields) })
   })
   timeline.runUntil(LEAD_MILLISECONDS)
--- a/packages/emulator/src/emulatedtarget.ts
+++ b/packages/emulator/src/emulatedtarget.ts
@@ -1,4 +1,4 @@
-/** A target beside an agent under virtual time: orders reach it late, twice, without an answer or not at all, and it crashes, hangs and slows. */
+/** A target next to an agent, under virtual time. Calls to it can be delayed, lost or left without an answer, and it can crash, hang and slow down. */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { Resources } from '@amaranthmast/dispatch/resources'
 import type { RunPlan, WorkerRun } from '@amaranthmast/standins/leasedworker'
@@ -11,40 +11,40 @@
 
 type EffectOf<Type extends AgentEffect['type']> = Extract<AgentEffect, { type: Type }>
 
-/** A process that calls a target. */
+/** The process that calls a target. */
 export interface Caller {
-  /** Number of its present run. */
+  /** Number of its current incarnation. */
   readonly incarnation: number
-  /** Runs a timer of it. Durations in milliseconds. */
+  /** Starts a timer of the process, in milliseconds. */
   after: (milliseconds: number, run: () => void) => void
 }
 
-/** What kind of target it is. Durations in milliseconds. */
-export interface TargetTraits {
+/** Properties of an emulated target. Durations in milliseconds. */
+export interface TargetOptions {
   service: string
   dataCentre: string
   labels: string[]
   capacity: Resources
-  /** Its steady clock against the others', 1 for the same rate. */
+  /** Rate of its monotonic clock against the timeline; 1 for the same rate. */
   clockRate: number
   longestLease: number
-  /** Whether it refuses what does not fit; else its agent alone guards it. @default true */
+  /** Whether it refuses tasks over its capacity; otherwise only its agent prevents overload. @default true */
   rejectsOverload?: boolean
-  /** Whether it turns down calls that name another of its lives, which then never keeps its name. @default false */
+  /** Whether it refuses calls that name another incarnation. A new incarnation must then not keep the name. @default false */
   refusesOtherLives?: boolean
   heartbeat: number
-  /** For how long room that has shrunk still counts in its own check of what is started there. */
-  news: number
-  /** Whether a poll waits for an end as long as it may, or is answered at once. */
+  /** How long its own check of starts still accepts a capacity after it has shrunk. */
+  capacityGrace: number
+  /** Whether a poll waits for the end of a run (long polling) or is answered at once. */
   pollsWait: boolean
-  /** The process that calls it: its timers may be late, and its next run hears nothing of earlier calls. @default one that is never late */
+  /** The process that calls it. Its timers may be delayed, and a new incarnation receives no answers to earlier calls. @default a caller that is never delayed */
   caller?: Caller
   plan: (task: string) => RunPlan
   cpuOf: (task: string) => number
 }
 
-/** Least time to the next end, in milliseconds: rounded to the same instant, it would be waited for at it for ever. */
-const ROUNDING = 1e-6
+/** Minimum time to the next end of a run, in milliseconds. If rounding made it 0, the wake-up would repeat at the same instant forever. */
+const MIN_DELAY_TO_END = 1e-6
 
 const START_ANSWERS = {
   started: StartAnswer.Started,
@@ -54,22 +54,24 @@
   room: StartAnswer.Full
 } as const
 
+/** What the caller receives, by the result of its call. */
 interface CallAnswers<Answer> {
+  /** No response before the timeout, or the connection broke. */
   silent: Answer
-  /** Nothing listens. */
+  /** The connection was refused. */
   refused: Answer
   otherInstance: Answer
-  carryOut: () => Answer
+  execute: () => Answer
 }
 
-/** A call that has not ended. */
+/** A call in progress. */
 interface OpenCall {
-  /** Its connection has broken, and it may not have arrived. */
+  /** Whether its connection broke, so that it may not have arrived. */
   broken: boolean
-  breakOff: () => void
+  disconnect: () => void
 }
 
-/** A poll that waits for an end. */
+/** A poll that waits for the end of a run. */
 interface WaitingPoll {
   instance: string
   acknowledged: number
@@ -78,47 +80,47 @@
 
 export class EmulatedTarget {
   readonly #timeline: Timeline
-  readonly #traits: TargetTraits
+  readonly #options: TargetOptions
   readonly #post: (event: AgentEvent) => void
   readonly check: CapacityCheck
   readonly #troubles: CallTroubles
   #worker: LeasedWorker
-  /** Name under which it is called, and this life of it. */
+  /** Name by which calls address it, and the instance id of its current incarnation. */
   #name = ''
   #instance = ''
-  #lives = 0
-  /** When its clock began, on the timeline. */
-  #clockSince = 0
+  #incarnation = 0
+  /** When its clock was at 0, on the timeline. */
+  #clockStart = 0
   #sequence = 0
   #up = true
   #refuses = false
   #leaving = false
-  /** It has deregistered, and has not ended yet. */
+  /** Whether it has deregistered; it may run on for a while. */
   #deregistered = false
-  /** When it will be gone, where its announcements state it. */
-  #goneAt = Infinity
-  /** Part of its capacity that it has at present. */
-  #part = 1
+  /** When it ends, on the timeline, if it announces that. */
+  #endsAt = Infinity
+  /** Current fraction of its full capacity. */
+  #capacityFraction = 1
   #rate = 1
-  readonly #open = new Set<OpenCall>()
-  #waiting: WaitingPoll[] = []
+  readonly #openCalls = new Set<OpenCall>()
+  #waitingPolls: WaitingPoll[] = []
   #wakeAt = Infinity
 
-  constructor (timeline: Timeline, random: SeededRandom, traits: TargetTraits, post: (event: AgentEvent) => void) {
+  constructor (timeline: Timeline, random: SeededRandom, options: TargetOptions, post: (event: AgentEvent) => void) {
     this.#timeline = timeline
     this.#troubles = new CallTroubles(timeline, random)
-    this.#traits = traits
+    this.#options = options
     this.#post = post
-    this.check = new CapacityCheck(traits.capacity.cpu, traits.news)
-    this.#worker = this.#newLife()
-    this.#heartbeat(this.#lives)
+    this.check = new CapacityCheck(options.capacity.cpu, options.capacityGrace)
+    this.#worker = this.#startIncarnation()
+    this.#heartbeat(this.#incarnation)
   }
 
   get up (): boolean {
     return this.#up
   }
 
-  /** What runs there now; nothing while it is down. */
+  /** Current runs; none while it is down. */
   running (): readonly WorkerRun[] {
     if (!this.#up) return []
     this.#worker.advance(this.#clock)
@@ -126,108 +128,109 @@
   }
 
   /**
-   * @param milliseconds how long it is down; infinite when it is gone for good
-   * @param keepsName whether it starts again under its name, with a clock and counts that start anew
-   * @param refuses whether its machine goes on, and refuses calls
+   * @param milliseconds how long it is down; Infinity if it does not restart
+   * @param keepsName whether it restarts under the same name, with its clock and counters reset
+   * @param refuses whether its machine stays up and refuses connections meanwhile
    */
   crash (milliseconds: number, keepsName = false, refuses = false): void {
     if (!this.#up) return
     this.#up = false
     this.#refuses = refuses
-    this.#troubles.listenAgain()
-    this.#waiting = []
+    this.#troubles.acceptCalls()
+    this.#waitingPolls = []
     if (milliseconds === Infinity) return
     this.#timeline.after(milliseconds, () => {
       this.#up = true
       this.#leaving = false
       this.#deregistered = false
-      this.#goneAt = Infinity
-      this.#worker = this.#newLife(keepsName)
-      this.#heartbeat(this.#lives)
+      this.#endsAt = Infinity
+      this.#worker = this.#startIncarnation(keepsName)
+      this.#heartbeat(this.#incarnation)
     })
   }
 
-  /** For a while it refuses connections, and those that are open break; what runs there goes on. */
+  /** Breaks open connections and refuses new ones for a while. Its tasks continue. */
   refuse (milliseconds: number): void {
     if (!this.#up) return
     this.#troubles.refuse(milliseconds)
-    this.#waiting = []
-    for (const call of this.#open) call.breakOff()
-    this.#open.clear()
+    this.#waitingPolls = []
+    for (const call of this.#openCalls) call.disconnect()
+    this.#openCalls.clear()
   }
 
-  /** For a while orders to stop are lost, and everything else is answered. */
+  /** For a while it neither executes nor answers stop calls; all other calls are answered. */
   loseStops (milliseconds: number): void {
     this.#troubles.loseStops(milliseconds)
   }
 
-  /** For a while all that it answers comes late. */
+  /** For a while all its answers are delayed. */
   answerSlowly (milliseconds: number): void {
     this.#troubles.answerSlowly(milliseconds)
   }
 
-  carryOutLate (milliseconds: number, share: number): void {
-    this.#troubles.carryOutLate(milliseconds, share)
+  executeLate (milliseconds: number, share: number): void {
+    this.#troubles.executeLate(milliseconds, share)
   }
 
   loseAnswers (milliseconds: number, share = 1): void {
     this.#troubles.loseAnswers(milliseconds, share)
   }
 
-  /** Everything that runs there works at this rate: 1 is sound, 0 stands still. */
+  /** Sets the speed of its tasks: 1 is normal, 0 hangs. */
   setRate (rate: number): void {
     this.#rate = rate
     this.#worker.setRate(rate, this.#clock)
-    this.#wakeIfDue()
+    this.#scheduleWakeUp()
   }
 
   /**
-   * It takes no new work and is gone later.
+   * Announces that it is leaving, and ends after a time.
    *
-   * @param states whether it announces how much time is left
-   * @param back after which time another life is there; infinite when it is gone for good
-   * @param lingers how long it runs on after it has deregistered, in milliseconds
-   * @param refuses whether it refuses connections from then on
+   * @param options
+   * @param options.announcesEnd whether its heartbeats state the remaining time
+   * @param options.restartsAfter milliseconds until a new incarnation starts; Infinity if none does
+   * @param options.lingers how long it runs on after it has deregistered, in milliseconds
+   * @param options.refuses whether it refuses connections while it lingers
    */
-  leave (milliseconds: number, { states = false, back = Infinity, lingers = 0, refuses = false } = {}): void {
+  leave (milliseconds: number, { announcesEnd = false, restartsAfter = Infinity, lingers = 0, refuses = false } = {}): void {
     if (!this.#up || this.#leaving) return
-    const life = this.#lives
+    const incarnation = this.#incarnation
     this.#leaving = true
-    if (states) this.#goneAt = this.#timeline.now + milliseconds
-    this.check.noteLeaving(this.#timeline.now)
+    if (announcesEnd) this.#endsAt = this.#timeline.now + milliseconds
+    this.check.recordLeaving(this.#timeline.now)
     this.announce()
-    const isOver = (): boolean => !this.#up || life !== this.#lives
+    const hasEnded = (): boolean => !this.#up || incarnation !== this.#incarnation
     this.#timeline.after(milliseconds, () => {
-      if (isOver()) return
+      if (hasEnded()) return
       this.#post({ type: 'targetLeft', instance: this.#instance })
       this.#deregistered = true
-      if (lingers === 0) return this.#end(back)
+      if (lingers === 0) return this.#shutDown(restartsAfter)
       if (refuses) this.refuse(lingers)
-      this.#timeline.after(lingers, () => { if (!isOver()) this.#end(back) })
+      this.#timeline.after(lingers, () => { if (!hasEnded()) this.#shutDown(restartsAfter) })
     })
   }
 
-  #end (back: number): void {
-    this.check.noteEnd(this.running().map(({ startedAt }) => this.#clockSince + startedAt / this.#traits.clockRate))
-    this.crash(back)
+  #shutDown (restartsAfter: number): void {
+    this.check.recordEnd(this.running().map(({ startedAt }) => this.#clockStart + startedAt / this.#options.clockRate))
+    this.crash(restartsAfter)
   }
 
-  /** From now on it has this part of its capacity; its next heartbeat says so. What runs goes on. */
-  setSize (part: number): void {
-    this.#part = part
+  /** Sets its capacity to a fraction of the full one. The next heartbeat reports it; running tasks continue. */
+  setCapacityFraction (fraction: number): void {
+    this.#capacityFraction = fraction
     this.#worker.setCapacity(this.#capacity.cpu)
-    this.check.noteCapacity(this.#capacity.cpu, this.#timeline.now)
+    this.check.recordCapacity(this.#capacity.cpu, this.#timeline.now)
   }
 
   announce (): void {
     if (this.#up && !this.#deregistered) this.#post(this.announcement())
   }
 
-  /** The next heartbeat. */
+  /** Builds the next heartbeat. */
   announcement (): AgentEvent {
-    const { service, dataCentre, labels, refusesOtherLives = false } = this.#traits
+    const { service, dataCentre, labels, refusesOtherLives = false } = this.#options
     this.#sequence += 1
-    const remaining = this.#goneAt === Infinity ? {} : { remaining: Math.max(0, this.#goneAt - this.#timeline.now) }
+    const remaining = this.#endsAt === Infinity ? {} : { remaining: Math.max(0, this.#endsAt - this.#timeline.now) }
     return { type: 'targetSeen', facts: { instance: this.#instance, service, dataCentre, capacity: this.#capacity, labels, leaving: this.#leaving, ...(refusesOtherLives ? { refusesOtherLives } : {}), ...remaining }, sequence: this.#sequence, clock: this.#clock }
   }
 
@@ -238,165 +241,165 @@
       silent: StartAnswer.Silent,
       refused: StartAnswer.NoListener,
       otherInstance: StartAnswer.OtherInstance,
-      carryOut: () => this.#start({ task, run, token, deadline })
+      execute: () => this.#start({ task, run, token, deadline })
     })
   }
 
   stop (order: EffectOf<'stop'>): void {
     const { instance, task, run, token, timeout } = order
     const reply = (answered: boolean): void => this.#post({ type: 'stopAnswered', instance, task, run, answered })
-    if (this.#troubles.losesStops) return this.#callersTimer(timeout, () => reply(false))
+    if (this.#troubles.losesStops) return this.#startCallerTimer(timeout, () => reply(false))
     this.#call(order, timeout, reply, {
       silent: false,
       refused: false,
       otherInstance: false,
-      carryOut: () => this.#worker.stop(task, run, token, this.#clock)
+      execute: () => this.#worker.stop(task, run, token, this.#clock)
     })
   }
 
   poll (order: EffectOf<'poll'>): void {
     const { instance, token, sent, deadline, acknowledged, wait, timeout } = order
     const failed = (failure: PollFailure): AgentEvent => ({ type: 'pollFailed', instance, sent, failure })
-    // It grants the lease once, on its arrival, however long its answer waits.
-    let granting = deadline
+    // A poll grants its lease only once, on arrival, even if its answer waits.
+    let grantedDeadline = deadline
     const answers: CallAnswers<AgentEvent> = {
       silent: failed(PollFailure.Silent),
       refused: failed(PollFailure.NoListener),
       otherInstance: failed(PollFailure.OtherInstance),
-      carryOut: () => {
-        const meant = instance === this.#instance
-        const { fenced, running, ended } = this.#worker.poll(token, granting, acknowledged, this.#clock)
-        granting = undefined
-        if (!meant) return failed(PollFailure.OtherInstance)
+      execute: () => {
+        const isCurrent = instance === this.#instance
+        const { fenced, running, ended } = this.#worker.poll(token, grantedDeadline, acknowledged, this.#clock)
+        grantedDeadline = undefined
+        if (!isCurrent) return failed(PollFailure.OtherInstance)
         if (fenced) return failed(PollFailure.Fenced)
         return { type: 'polled', instance, sent, clock: this.#clock, running, ended: ended.map(end => ({ ...end, end: end.how as RunEnd })) }
       }
     }
-    const holds = this.#traits.pollsWait && wait > 0
-    this.#call(order, timeout, event => this.#post(event), answers, holds ? { acknowledged, wait } : undefined)
+    const waits = this.#options.pollsWait && wait > 0
+    this.#call(order, timeout, event => this.#post(event), answers, waits ? { acknowledged, wait } : undefined)
   }
 
   #start (order: { task: string, run: number, token: number, deadline: number }): StartAnswer {
     const running = this.running().length
-    const answer = START_ANSWERS[this.#worker.start({ ...order, cpu: this.#traits.cpuOf(order.task) }, this.#clock)]
-    if (this.#worker.running.length > running) this.check.noteStart(this.#worker.used, this.#timeline.now)
+    const answer = START_ANSWERS[this.#worker.start({ ...order, cpu: this.#options.cpuOf(order.task) }, this.#clock)]
+    if (this.#worker.running.length > running) this.check.recordStart(this.#worker.used, this.#timeline.now)
     return answer
   }
 
   get #capacity (): Resources {
-    const { capacity } = this.#traits
-    return { ...capacity, cpu: Math.floor(capacity.cpu * this.#part) }
+    const { capacity } = this.#options
+    return { ...capacity, cpu: Math.floor(capacity.cpu * this.#capacityFraction) }
   }
 
   get #clock (): number {
-    return (this.#timeline.now - this.#clockSince) * this.#traits.clockRate
+    return (this.#timeline.now - this.#clockStart) * this.#options.clockRate
   }
 
-  #newLife (keepsName = false): LeasedWorker {
-    this.#lives += 1
-    if (keepsName) this.#clockSince = this.#timeline.now
-    else this.#name = `life-${this.#lives}`
-    this.#instance = `${this.#name}/${this.#lives}`
+  #startIncarnation (keepsName = false): LeasedWorker {
+    this.#incarnation += 1
+    if (keepsName) this.#clockStart = this.#timeline.now
+    else this.#name = `life-${this.#incarnation}`
+    this.#instance = `${this.#name}/${this.#incarnation}`
     this.#sequence = 0
     this.#wakeAt = Infinity
-    const { longestLease, rejectsOverload = true, plan } = this.#traits
+    const { longestLease, rejectsOverload = true, plan } = this.#options
     const worker = new LeasedWorker({ cpu: this.#capacity.cpu, longestLease, rejectsOverload, plan })
     if (this.#rate !== 1) worker.setRate(this.#rate, this.#clock)
     return worker
   }
 
-  #heartbeat (life: number): void {
-    if (!this.#up || life !== this.#lives) return
+  #heartbeat (incarnation: number): void {
+    if (!this.#up || incarnation !== this.#incarnation) return
     this.announce()
-    this.#timeline.after(this.#traits.heartbeat, () => this.#heartbeat(life))
+    this.#timeline.after(this.#options.heartbeat, () => this.#heartbeat(incarnation))
   }
 
   #call<Answer> (order: { instance: string }, timeout: number, reply: (answer: Answer) => void, answers: CallAnswers<Answer>, hold?: { acknowledged: number, wait: number }): void {
     const call: OpenCall = {
       broken: false,
-      breakOff: () => {
+      disconnect: () => {
         call.broken = true
-        this.#timeline.after(this.#troubles.travel(), () => settle(answers.silent))
+        this.#timeline.after(this.#troubles.travelTime(), () => settle(answers.silent))
       }
     }
-    const { caller } = this.#traits
-    const incarnation = caller?.incarnation
+    const { caller } = this.#options
+    const callerIncarnation = caller?.incarnation
     let settled = false
     const settle = (answer: Answer): void => {
-      this.#open.delete(call)
-      if (settled || incarnation !== caller?.incarnation) return
+      this.#openCalls.delete(call)
+      if (settled || callerIncarnation !== caller?.incarnation) return
       settled = true
       reply(answer)
     }
-    this.#callersTimer(timeout, () => settle(answers.silent))
-    if (this.#up && this.#troubles.refuses) return this.#timeline.after(this.#troubles.travel(), () => settle(answers.refused))
-    this.#open.add(call)
-    const life = this.#lives
+    this.#startCallerTimer(timeout, () => settle(answers.silent))
+    if (this.#up && this.#troubles.refuses) return this.#timeline.after(this.#troubles.travelTime(), () => settle(answers.refused))
+    this.#openCalls.add(call)
+    const incarnation = this.#incarnation
     const { late, lost, order: travel, answer: slowness } = this.#troubles.next()
-    const answerBack = (): void => {
+    const sendAnswer = (): void => {
       const answer = this.#answer(order.instance, answers)
-      this.#wakeIfDue()
-      if (answer !== undefined && !lost) this.#timeline.after(slowness + this.#troubles.travel(), () => { if (!call.broken) settle(answer) })
+      this.#scheduleWakeUp()
+      if (answer !== undefined && !lost) this.#timeline.after(slowness + this.#troubles.travelTime(), () => { if (!call.broken) settle(answer) })
     }
     this.#timeline.after(travel, () => {
-      // What waits inside a worker ends with it.
-      if (late && life !== this.#lives) return
-      if (call.broken && !this.#troubles.arrivesBroken()) return
-      if (hold === undefined) return answerBack()
-      this.#hold(order.instance, hold, answers, answerBack)
+      // A delayed call waits inside the target, so it is lost when that incarnation ends.
+      if (late && incarnation !== this.#incarnation) return
+      if (call.broken && !this.#troubles.executesDespiteDisconnect()) return
+      if (hold === undefined) return sendAnswer()
+      this.#holdPoll(order.instance, hold, answers, sendAnswer)
     })
   }
 
-  #callersTimer (milliseconds: number, run: () => void): void {
-    const timers = this.#traits.caller ?? this.#timeline
+  #startCallerTimer (milliseconds: number, run: () => void): void {
+    const timers = this.#options.caller ?? this.#timeline
     timers.after(milliseconds, run)
   }
 
-  /** The order of a poll takes effect as it arrives; its answer waits for an end. */
-  #hold<Answer> (instance: string, { acknowledged, wait }: { acknowledged: number, wait: number }, answers: CallAnswers<Answer>, answerBack: () => void): void {
+  /** Executes a poll on arrival and holds its answer back until a run ends or the wait is over. */
+  #holdPoll<Answer> (instance: string, { acknowledged, wait }: { acknowledged: number, wait: number }, answers: CallAnswers<Answer>, sendAnswer: () => void): void {
     this.#answer(instance, answers)
-    if (!this.#up || !this.#isCalled(instance) || this.#worker.hasEnds(acknowledged)) return answerBack()
-    const poll: WaitingPoll = { instance, acknowledged, answer: answerBack }
-    this.#waiting.push(poll)
-    this.#wakeIfDue()
+    if (!this.#up || !this.#isAddressed(instance) || this.#worker.hasEnds(acknowledged)) return sendAnswer()
+    const poll: WaitingPoll = { instance, acknowledged, answer: sendAnswer }
+    this.#waitingPolls.push(poll)
+    this.#scheduleWakeUp()
     this.#timeline.after(wait, () => {
-      if (!this.#waiting.includes(poll)) return
-      this.#waiting.splice(this.#waiting.indexOf(poll), 1)
-      answerBack()
+      if (!this.#waitingPolls.includes(poll)) return
+      this.#waitingPolls.splice(this.#waitingPolls.indexOf(poll), 1)
+      sendAnswer()
     })
   }
 
-  /** Polls that wait are answered when the next run ends. */
-  #wakeIfDue (): void {
-    if (!this.#traits.pollsWait || !this.#up) return
+  /** Schedules the answers to waiting polls for the end of the next run. */
+  #scheduleWakeUp (): void {
+    if (!this.#options.pollsWait || !this.#up) return
     const { now } = this.#timeline
-    const at = Math.max(now + ROUNDING, this.#clockSince + this.#worker.nextEnd() / this.#traits.clockRate)
-    if (at === Infinity || at === this.#wakeAt) return this.#answerWaiting()
+    const at = Math.max(now + MIN_DELAY_TO_END, this.#clockStart + this.#worker.nextEnd() / this.#options.clockRate)
+    if (at === Infinity || at === this.#wakeAt) return this.#answerReadyPolls()
     this.#wakeAt = at
     this.#timeline.after(at - now, () => {
       if (this.#wakeAt !== at) return
       this.#wakeAt = Infinity
       this.#worker.advance(this.#clock)
-      this.#answerWaiting()
-      this.#wakeIfDue()
+      this.#answerReadyPolls()
+      this.#scheduleWakeUp()
     })
   }
 
-  #answerWaiting (): void {
-    const ready = this.#waiting.filter(({ acknowledged }) => this.#worker.hasEnds(acknowledged))
+  #answerReadyPolls (): void {
+    const ready = this.#waitingPolls.filter(({ acknowledged }) => this.#worker.hasEnds(acknowledged))
     if (ready.length === 0) return
-    this.#waiting = this.#waiting.filter(poll => !ready.includes(poll))
+    this.#waitingPolls = this.#waitingPolls.filter(poll => !ready.includes(poll))
     for (const { answer } of ready) answer()
   }
 
-  /** Undefined while the machine is down: it says nothing at all, unless only the target on it is. */
+  /** Returns undefined (no response) while the machine is down; refuses if only the process on it is down. */
   #answer<Answer> (instance: string, answers: CallAnswers<Answer>): Answer | undefined {
     if (!this.#up) return this.#refuses ? answers.refused : undefined
-    return this.#isCalled(instance) ? answers.carryOut() : answers.otherInstance
+    return this.#isAddressed(instance) ? answers.execute() : answers.otherInstance
   }
 
-  /** A call names the worker, not which of its lives it means. */
-  #isCalled (instance: string): boolean {
+  /** A call addresses the name of a target, whichever incarnation it names. */
+  #isAddressed (instance: string): boolean {
     return instance.startsWith(`${this.#name}/`)
   }
 }
--- a/packages/emulator/src/fleet.ts
+++ b/packages/emulator/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The real entries and agents of one emulated day, their targets and the links between them. */
+/** The fleet of an emulated day: real entry and agent cores, emulated targets, and the links between them. */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { Answer, EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 import type { AgentMessage, EntryMessage } from '@amaranthmast/dispatch/messages'
@@ -17,43 +17,43 @@
 import { linkEnds, numberOf, pairOf } from './linkends.ts'
 import { PeerLinks } from './peerlinks.ts'
 import { TroubleKind } from './troubletypes.ts'
-import { priceOfAgentEffect, priceOfAgentEvent, priceOfEntryEffect, priceOfEntryEvent } from './prices.ts'
+import { costOfAgentEffect, costOfAgentEvent, costOfEntryEffect, costOfEntryEvent } from './processorcosts.ts'
 import { Process } from './process.ts'
 
-/** Bounds of the platform, in milliseconds. */
+/** Time limits of the platform, in milliseconds. */
 export const BOUNDS = { resubmission: 1300, longestLease: 1000, stop: 50, grace: 6000, drain: 3000 }
 
 const SERVICE = 'service'
-const HEARTBEAT = 1500
+const HEARTBEAT_INTERVAL = 1500
 
-/** Room that has shrunk counts until the next heartbeat has come, and orders sent before it, in milliseconds. */
-const NEWS = HEARTBEAT + 100
+/** How long a capacity still counts after it has shrunk, in milliseconds: until the next heartbeat, and the orders sent before it, have arrived. */
+const CAPACITY_GRACE = HEARTBEAT_INTERVAL + 100
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** A target that a task has crashed is back after this, in milliseconds: half of them under their names, half of them refusing calls meanwhile. */
-const CRASHED_MILLISECONDS = 3000
+/** Downtime of a target that a task has crashed, in milliseconds. Half of the targets keep their names, and half refuse calls meanwhile. */
+const CRASH_DOWNTIME = 3000
 
-/** Troubles after which targets start again under their names. */
-const KEEPS_NAMES: ReadonlySet<TroubleKind> = new Set([TroubleKind.Restart, TroubleKind.Crashing])
+/** Troubles after which targets restart under the same name. */
+const NAME_KEEPING_TROUBLES: ReadonlySet<TroubleKind> = new Set([TroubleKind.Restart, TroubleKind.Crashing])
 
-/** Crashes of targets after which a task may not be started again (the users' rule). */
-const CRASHES_ALLOWED = 3
+/** Number of target crashes after which a task may not be started again (the users' rule). */
+const MAX_CRASHES = 3
 
-/** Pause between looks for links that are missing, in milliseconds. */
-const DIAL_AGAIN = 60
+/** Interval at which missing links are opened, in milliseconds. */
+const DIAL_INTERVAL = 60
 
-/** How soon a process reads a change of the operators, and how often it reads without one, in milliseconds. */
-const WATCH = 10
-const READ_AGAIN = 1000
+/** Time until an entry reads a change in the operators' store, and the interval of reads without a change, in milliseconds. */
+const WATCH_DELAY = 10
+const READ_INTERVAL = 1000
 
-/** Messages travel up to this much longer than the link's delay, in milliseconds. */
-const JITTER = 0.3
+/** Maximum random delay that is added to the delay of a link, in milliseconds. */
+const MAX_JITTER = 0.3
 
 export interface FleetEvents {
   answered: (request: number, answer: Answer) => void
-  /** The process of an entry has ended: connections of callers to it break, or hang when its machine has no power. */
-  entryEnded: (entry: number, silent: boolean) => void
+  /** The process of an entry has ended. Connections of callers to it break, or hang if its machine has lost power. */
+  entryEnded: (entry: number, powerLost: boolean) => void
   note?: (process: string, what: string, fields: Record<string, unknown>) => void
 }
 
@@ -61,16 +61,16 @@
   readonly entries: EntryProcess[] = []
   readonly agents: AgentProcess[] = []
   readonly targets: EmulatedTarget[] = []
-  /** Messages between entries and agents. */
+  /** Messages sent by all entries and agents. */
   messages = 0
-  /** Starts that came back for want of room, and all that were sent. */
+  /** Starts that were returned because the target was full, and all starts sent. */
   fullStarts = 0
   starts = 0
-  /** Targets that tasks crashed, and starts of tasks under which three had crashed before. */
+  /** Target crashes caused by tasks, and starts of tasks that had already crashed three targets. */
   crashes = 0
   startsAfterCrashes = 0
-  readonly #crashesOf = new Map<string, number>()
-  /** Work that agents have told of, by job: thousandths of a core times milliseconds. */
+  readonly #crashCounts = new Map<string, number>()
+  /** Work reported by agents, by job, in thousandths of a core times milliseconds. */
   readonly work = new Map<string, number>()
   readonly #plan: DayPlan
   readonly #timeline: Timeline
@@ -79,11 +79,11 @@
   readonly #connections: Connections
   readonly #peers: PeerLinks
   readonly #jobs: ReadonlyMap<string, JobPlan>
-  readonly #evacuated = new Set<string>()
-  /** Of the operators' store; 0 before they have written. */
+  readonly #evacuatedDataCentres = new Set<string>()
+  /** Revision of the operators' store; 0 before the first write. */
   #revision = 0
-  /** Parts of tasks that fail at a target. */
-  readonly #failing = new Map<number, number>()
+  /** Fraction of tasks that fail, by target. */
+  readonly #failureRates = new Map<number, number>()
 
   constructor (plan: DayPlan, timeline: Timeline, random: SeededRandom, policy: Partial<Policy>, events: FleetEvents) {
     this.#plan = plan
@@ -91,11 +91,11 @@
     this.#random = random
     this.#events = events
     this.#jobs = new Map(plan.jobs.map(job => [job.id, job]))
-    this.#connections = new Connections(timeline, pair => this.#travel(pair))
-    this.#peers = new PeerLinks(timeline, this.entries, (from, to) => this.#delay(plan.entries[from]?.dataCentre, plan.entries[to]?.dataCentre))
+    this.#connections = new Connections(timeline, pair => this.#travelTime(pair))
+    this.#peers = new PeerLinks(timeline, this.entries, (from, to) => this.#linkDelay(plan.entries[from]?.dataCentre, plan.entries[to]?.dataCentre))
     const timings = timingsFor(BOUNDS)
     for (const index of plan.targets.keys()) this.#addAgent(index, () => new Agent({ timings, stop: BOUNDS.stop, drain: BOUNDS.drain, wallClock: () => 1_000_000 + timeline.now, policy }))
-    for (const [index, { dataCentre }] of plan.entries.entries()) this.#addEntry(index, () => new Entry({ name: `entry${index}`, dataCentre, timings, grace: BOUNDS.grace, policy, strength: strengthOf(plan.processor.entries[index]) }))
+    for (const [index, { dataCentre }] of plan.entries.entries()) this.#addEntry(index, () => new Entry({ name: `entry${index}`, dataCentre, timings, grace: BOUNDS.grace, policy, strength: processorStrength(plan.processor.entries[index]) }))
     for (const agent of this.agents) agent.start()
     for (const index of this.entries.keys()) this.#startEntry(index)
     this.#dialAll()
@@ -113,58 +113,58 @@
     return this.agents.map(({ used }) => used / this.#timeline.now * MILLISECONDS_PER_SECOND)
   }
 
-  /** Whether callers can reach the entry. */
-  serves (entry: number): boolean {
+  /** Whether the entry is running, so that callers can reach it. */
+  isServing (entry: number): boolean {
     return this.entries[entry]?.alive === true
   }
 
-  /** @param silent the machine has no power: nobody is told */
-  killEntry (index: number, milliseconds: number, silent: boolean): void {
+  /** @param powerLost whether the machine loses power, so that its peers are not notified */
+  killEntry (index: number, milliseconds: number, powerLost: boolean): void {
     const entry = this.entries[index] as EntryProcess
     if (!entry.alive) return
     entry.kill()
-    this.#events.entryEnded(index, silent)
-    this.#peers.ended(index, silent)
-    for (const agent of this.agents.keys()) this.#lose(pairOf(index, agent), silent, 'closeByEntry')
+    this.#events.entryEnded(index, powerLost)
+    this.#peers.entryEnded(index, powerLost)
+    for (const agent of this.agents.keys()) this.#disconnect(pairOf(index, agent), powerLost, 'closeByEntry')
     this.#timeline.after(milliseconds + this.#plan.startMilliseconds, () => this.#startEntry(index))
   }
 
-  killAgent (index: number, milliseconds: number, silent: boolean): void {
+  killAgent (index: number, milliseconds: number, powerLost: boolean): void {
     const agent = this.agents[index] as AgentProcess
     if (!agent.alive) return
     agent.kill()
-    for (const entry of this.entries.keys()) this.#lose(pairOf(entry, index), silent, 'closeByAgent')
+    for (const entry of this.entries.keys()) this.#disconnect(pairOf(entry, index), powerLost, 'closeByAgent')
     this.#timeline.after(milliseconds + this.#plan.startMilliseconds, () => {
       agent.start()
-      this.#timeline.after(this.#random.next() * HEARTBEAT / 2, () => this.targets[index]?.announce())
+      this.#timeline.after(this.#random.next() * HEARTBEAT_INTERVAL / 2, () => this.targets[index]?.announce())
     })
   }
 
-  /** Nothing more may be started in the data centre for a while. */
+  /** Evacuates the data centre for a while: nothing may be started there. */
   evacuate (dataCentre: string, milliseconds: number): void {
     const first = this.#revision === 0
-    this.#evacuated.add(dataCentre)
-    this.#operatorsWrote()
-    if (first) this.#readAgain()
+    this.#evacuatedDataCentres.add(dataCentre)
+    this.#notifyStoreChanged()
+    if (first) this.#scheduleStoreRead()
     this.#timeline.after(milliseconds, () => {
-      this.#evacuated.delete(dataCentre)
-      this.#operatorsWrote()
+      this.#evacuatedDataCentres.delete(dataCentre)
+      this.#notifyStoreChanged()
     })
   }
 
-  #operatorsWrote (): void {
+  #notifyStoreChanged (): void {
     this.#revision += 1
-    this.#timeline.after(WATCH, () => { for (const entry of this.entries) this.#read(entry) })
+    this.#timeline.after(WATCH_DELAY, () => { for (const entry of this.entries) this.#sendEvacuations(entry) })
   }
 
-  #read (entry: EntryProcess): void {
-    if (this.#revision > 0) entry.post({ type: 'evacuationsRead', state: { revision: this.#revision, dataCentres: [...this.#evacuated] } })
+  #sendEvacuations (entry: EntryProcess): void {
+    if (this.#revision > 0) entry.post({ type: 'evacuationsRead', state: { revision: this.#revision, dataCentres: [...this.#evacuatedDataCentres] } })
   }
 
-  #readAgain (): void {
-    this.#timeline.after(READ_AGAIN, () => {
-      for (const entry of this.entries) this.#read(entry)
-      this.#readAgain()
+  #scheduleStoreRead (): void {
+    this.#timeline.after(READ_INTERVAL, () => {
+      for (const entry of this.entries) this.#sendEvacuations(entry)
+      this.#scheduleStoreRead()
     })
   }
 
@@ -173,13 +173,13 @@
     for (const agent of this.agents.keys()) this.#connections.cut(pairOf(index, agent), milliseconds)
   }
 
-  /** From now on this part of the tasks at the target fails. */
-  setFailing (target: number, part: number): void {
-    this.#failing.set(target, part)
+  /** Sets the fraction of tasks that fail at the target. */
+  setFailureRate (target: number, rate: number): void {
+    this.#failureRates.set(target, rate)
   }
 
-  #addAgent (index: number, make: () => Agent): void {
-    const agent: AgentProcess = new Process<AgentEvent, AgentEffect>(`agent${index}`, this.#timeline, make, { type: 'tick' }, effect => this.#carryOutAgent(index, effect), { costs: costsOn(this.#plan.processor.agents[index], this.#plan.processor.agent, priceOfAgentEvent, priceOfAgentEffect) })
+  #addAgent (index: number, createCore: () => Agent): void {
+    const agent: AgentProcess = new Process<AgentEvent, AgentEffect>(`agent${index}`, this.#timeline, createCore, { type: 'tick' }, effect => this.#executeAgentEffect(index, effect), { costs: costsFor(this.#plan.processor.agents[index], this.#plan.processor.agent, costOfAgentEvent, costOfAgentEffect) })
     this.agents.push(agent)
     const { dataCentre, capacity, labels, speed } = this.#plan.targets[index] as DayPlan['targets'][number]
     this.targets.push(new EmulatedTarget(this.#timeline, this.#random, {
@@ -190,45 +190,45 @@
       clockRate: 1,
       longestLease: BOUNDS.longestLease,
       rejectsOverload: this.#plan.rejectsOverload,
-      refusesOtherLives: !this.#plan.troubles.some(({ kind }) => KEEPS_NAMES.has(kind)),
-      heartbeat: HEARTBEAT,
-      news: NEWS,
+      refusesOtherLives: !this.#plan.troubles.some(({ kind }) => NAME_KEEPING_TROUBLES.has(kind)),
+      heartbeat: HEARTBEAT_INTERVAL,
+      capacityGrace: CAPACITY_GRACE,
       pollsWait: true,
       plan: task => this.#runPlan(index, task, speed),
       cpuOf: task => this.#jobOf(task).cpu
     }, event => agent.post(event)))
   }
 
-  #addEntry (index: number, make: () => Entry): void {
+  #addEntry (index: number, createCore: () => Entry): void {
     const { entries, entry } = this.#plan.processor
-    this.entries.push(new Process<EntryEvent, EntryEffect>(`entry${index}`, this.#timeline, make, { type: 'tick' }, effect => this.#carryOutEntry(index, effect), { costs: costsOn(entries[index], entry, priceOfEntryEvent, priceOfEntryEffect) }))
+    this.entries.push(new Process<EntryEvent, EntryEffect>(`entry${index}`, this.#timeline, createCore, { type: 'tick' }, effect => this.#executeEntryEffect(index, effect), { costs: costsFor(entries[index], entry, costOfEntryEvent, costOfEntryEffect) }))
   }
 
   #startEntry (index: number): void {
     const entry = this.entries[index] as EntryProcess
     entry.start()
-    this.#read(entry)
+    this.#sendEvacuations(entry)
     entry.post({ type: 'configured', configuration: { version: 1, queues: this.#plan.queues, limits: { header: 0, body: 0, headerTimeout: 0, idleTimeout: 0 } } })
   }
 
   #runPlan (target: number, task: string, speed: number): { duration: number, fails: boolean } {
     const job = this.#jobOf(task)
     const index = Number(task.slice(task.lastIndexOf('.') + 1))
-    const failing = this.#failing.get(target) ?? 0
+    const failureRate = this.#failureRates.get(target) ?? 0
     const duration = (job.tasks[index] ?? 0) * (job.stretch[index] ?? 1) / speed
-    if (job.crashing?.task === index) this.#crashLater(target, task, duration * job.crashing.after)
-    return { duration, fails: job.poisoned || (failing > 0 && this.#random.next() < failing) }
+    if (job.crashing?.task === index) this.#scheduleCrash(target, task, duration * job.crashing.after)
+    return { duration, fails: job.poisoned || (failureRate > 0 && this.#random.next() < failureRate) }
   }
 
-  #crashLater (index: number, task: string, milliseconds: number): void {
-    const before = this.#crashesOf.get(task) ?? 0
-    if (before >= CRASHES_ALLOWED) this.startsAfterCrashes += 1
+  #scheduleCrash (index: number, task: string, milliseconds: number): void {
+    const before = this.#crashCounts.get(task) ?? 0
+    if (before >= MAX_CRASHES) this.startsAfterCrashes += 1
     this.#timeline.after(milliseconds, () => {
       const target = this.targets[index]
       if (target?.running().some(run => run.task === task) !== true) return
       this.crashes += 1
-      this.#crashesOf.set(task, (this.#crashesOf.get(task) ?? 0) + 1)
-      target.crash(CRASHED_MILLISECONDS, index % 4 < 2, index % 2 === 0)
+      this.#crashCounts.set(task, (this.#crashCounts.get(task) ?? 0) + 1)
+      target.crash(CRASH_DOWNTIME, index % 4 < 2, index % 2 === 0)
     })
   }
 
@@ -236,18 +236,18 @@
     return this.#jobs.get(task.slice(0, task.indexOf('.'))) as JobPlan
   }
 
-  #carryOutAgent (index: number, effect: AgentEffect): void {
+  #executeAgentEffect (index: number, effect: AgentEffect): void {
     const target = this.targets[index] as EmulatedTarget
     if (effect.type === 'start') target.start(effect)
     if (effect.type === 'stop') target.stop(effect)
     if (effect.type === 'poll') target.poll(effect)
-    if (effect.type === 'send') this.#toEntry(pairOf(numberOf(effect.entry), index), effect.message)
+    if (effect.type === 'send') this.#sendToEntry(pairOf(numberOf(effect.entry), index), effect.message)
     if (effect.type === 'unlink') this.#connections.closeByAgent(pairOf(numberOf(effect.entry), index))
     if (effect.type === 'note') this.#events.note?.(`agent${index}`, effect.what, effect.fields)
   }
 
-  #carryOutEntry (index: number, effect: EntryEffect): void {
-    if (effect.type === 'send') this.#toAgent(pairOf(index, numberOf(effect.agent)), effect.message)
+  #executeEntryEffect (index: number, effect: EntryEffect): void {
+    if (effect.type === 'send') this.#sendToAgent(pairOf(index, numberOf(effect.agent)), effect.message)
     if (effect.type === 'tell') {
       this.messages += 1
       this.#peers.send(index, numberOf(effect.peer), effect.message)
@@ -257,38 +257,38 @@
     if (effect.type === 'note') this.#events.note?.(`entry${index}`, effect.what, effect.fields)
   }
 
-  #toEntry (pair: string, message: AgentMessage): void {
+  #sendToEntry (pair: string, message: AgentMessage): void {
     this.messages += 1
     if (message.type === 'ends') {
       this.fullStarts += message.ends.filter(({ cause }) => cause === Cause.Full).length
-      for (const { task, ran } of message.ends) this.#noteWork(this.#jobOf(task), ran)
+      for (const { task, ran } of message.ends) this.#recordWork(this.#jobOf(task), ran)
     }
     this.#connections.toEntry(pair, message)
   }
 
-  #noteWork ({ id, cpu }: JobPlan, ran: number): void {
+  #recordWork ({ id, cpu }: JobPlan, ran: number): void {
     this.work.set(id, (this.work.get(id) ?? 0) + ran * cpu)
   }
 
-  #toAgent (pair: string, message: EntryMessage): void {
+  #sendToAgent (pair: string, message: EntryMessage): void {
     this.messages += 1
     if (message.type === 'start') this.starts += message.tasks.length
     this.#connections.toAgent(pair, message)
   }
 
-  #lose (pair: string, silent: boolean, close: 'closeByEntry' | 'closeByAgent'): void {
-    if (silent) this.#connections.vanish(pair)
+  #disconnect (pair: string, powerLost: boolean, close: 'closeByEntry' | 'closeByAgent'): void {
+    if (powerLost) this.#connections.drop(pair)
     else this.#connections[close](pair)
   }
 
-  #travel (pair: string): number {
+  #travelTime (pair: string): number {
     const [entry = 0, agent = 0] = pair.split('-').map(Number)
-    return this.#delay(this.#plan.entries[entry]?.dataCentre, this.#plan.targets[agent]?.dataCentre)
+    return this.#linkDelay(this.#plan.entries[entry]?.dataCentre, this.#plan.targets[agent]?.dataCentre)
   }
 
-  #delay (from: string | undefined, to: string | undefined): number {
+  #linkDelay (from: string | undefined, to: string | undefined): number {
     const { within, between } = this.#plan.delays
-    return (from === to ? within : between) + this.#random.next() * JITTER
+    return (from === to ? within : between) + this.#random.next() * MAX_JITTER
   }
 
   #dialAll (): void {
@@ -296,10 +296,10 @@
     for (const [index, entry] of this.entries.entries()) {
       for (const [other, agent] of this.agents.entries()) {
         const pair = pairOf(index, other)
-        if (entry.alive && agent.alive && !entry.frozen && !agent.frozen && !this.#connections.isCut(pair) && !this.#connections.get(pair)) this.#dial(index, other)
+        if (entry.alive && agent.alive && !entry.frozen && !agent.frozen && !this.#connections.isCut(pair) && !this.#connections.has(pair)) this.#dial(index, other)
       }
     }
-    this.#timeline.after(DIAL_AGAIN, () => this.#dialAll())
+    this.#timeline.after(DIAL_INTERVAL, () => this.#dialAll())
   }
 
   #dial (index: number, other: number): void {
@@ -310,13 +310,13 @@
   }
 }
 
-/** Speed of an entry's processor against one core, in whole doublings, as entries measure it. */
-function strengthOf (cores = 1): number {
+/** Speed of an entry's processor relative to one core, as a rounded base-2 logarithm, the unit in which entries measure it. */
+function processorStrength (cores = 1): number {
   return Math.round(Math.log2(cores))
 }
 
-/** @param cores speed of the processor, in cores; undefined where each event but a tick costs the same */
-function costsOn<Event extends { type: string }, Effect> (cores: number | undefined, flat: number, event: (event: Event) => number, effect: (effect: Effect) => number): Costs<Event, Effect> {
-  if (cores === undefined) return { event: ({ type }) => type === 'tick' ? 0 : flat, effect: () => 0 }
+/** @param cores speed of the processor, in cores; undefined if each event except a tick costs `flatCost` */
+function costsFor<Event extends { type: string }, Effect> (cores: number | undefined, flatCost: number, event: (event: Event) => number, effect: (effect: Effect) => number): Costs<Event, Effect> {
+  if (cores === undefined) return { event: ({ type }) => type === 'tick' ? 0 : flatCost, effect: () => 0 }
   return { event: taken => event(taken) / cores, effect: taken => effect(taken) / cores }
 }
--- a/packages/emulator/src/linkends.ts
+++ b/packages/emulator/src/linkends.ts
@@ -2,15 +2,15 @@
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 import type { AgentMessage, EntryMessage } from '@amaranthmast/dispatch/messages'
-import type { End } from './connections.ts'
+import type { LinkEnd } from './connections.ts'
 import type { Process } from './process.ts'
 
 export type EntryProcess = Process<EntryEvent, EntryEffect>
 export type AgentProcess = Process<AgentEvent, AgentEffect>
 
 /** Ends for the present runs of both processes. Their names carry a number: `entry3`, `agent0`. */
-export function linkEnds (entry: EntryProcess, agent: AgentProcess): { entryEnd: End, agentEnd: End } {
-  const entryRun = `${entry.name}#${entry.incarnation}`
+export function linkEnds (entry: EntryProcess, agent: AgentProcess): { entryEnd: LinkEnd, agentEnd: LinkEnd } {
+  const entryIncarnation = `${entry.name}#${entry.incarnation}`
   const { name, incarnation } = agent
   return {
     entryEnd: {
@@ -19,9 +19,9 @@
       unlinked: () => entry.post({ type: 'agentUnlinked', agent: name })
     },
     agentEnd: {
-      linked: () => agent.post({ type: 'entryLinked', entry: entryRun }),
-      received: message => agent.post({ type: 'entryMessage', entry: entryRun, message: message as EntryMessage }),
-      unlinked: () => agent.post({ type: 'entryUnlinked', entry: entryRun })
+      linked: () => agent.post({ type: 'entryLinked', entry: entryIncarnation }),
+      received: message => agent.post({ type: 'entryMessage', entry: entryIncarnation, message: message as EntryMessage }),
+      unlinked: () => agent.post({ type: 'entryUnlinked', entry: entryIncarnation })
     }
   }
 }
--- a/packages/emulator/src/peerlinks.ts
+++ b/packages/emulator/src/peerlinks.ts
@@ -8,22 +8,22 @@
   from: number
   to: number
   /** Earliest arrival of the next message. */
-  arrivesAt: number
+  earliestArrival: number
 }
 
 export class PeerLinks {
   readonly #timeline: Timeline
   readonly #entries: readonly EntryProcess[]
-  readonly #travel: (from: number, to: number) => number
+  readonly #travelTime: (from: number, to: number) => number
   readonly #links = new Map<string, PeerLink>()
   /** Until when an entry is cut off. */
   readonly #cuts = new Map<number, number>()
 
-  /** @param travel how long the next message travels, in milliseconds */
-  constructor (timeline: Timeline, entries: readonly EntryProcess[], travel: (from: number, to: number) => number) {
+  /** @param travelTime how long the next message travels, in milliseconds */
+  constructor (timeline: Timeline, entries: readonly EntryProcess[], travelTime: (from: number, to: number) => number) {
     this.#timeline = timeline
     this.#entries = entries
-    this.#travel = travel
+    this.#travelTime = travelTime
   }
 
   /** Opens what is missing. */
@@ -35,7 +35,7 @@
         const link = this.#links.get(key)
         if (link?.from === entry.incarnation && link.to === other.incarnation) continue
         if (link?.from === entry.incarnation) entry.post({ type: 'peerUnlinked', peer: other.name })
-        this.#links.set(key, { from: entry.incarnation, to: other.incarnation, arrivesAt: 0 })
+        this.#links.set(key, { from: entry.incarnation, to: other.incarnation, earliestArrival: 0 })
         entry.post({ type: 'peerLinked', peer: other.name })
       }
     }
@@ -46,15 +46,15 @@
   }
 
   /** The process has ended: the others hear of it when the news arrives, or not at all when its machine has no power. */
-  ended (index: number, silent: boolean): void {
-    if (silent) return
+  entryEnded (index: number, powerLost: boolean): void {
+    if (powerLost) return
     const { name } = this.#entries[index] as EntryProcess
     for (const [from, entry] of this.#entries.entries()) {
       const key = `${from}-${index}`
       const link = this.#links.get(key)
       if (link === undefined) continue
       this.#links.delete(key)
-      this.#timeline.after(this.#travel(index, from), () => { if (link.from === entry.incarnation) entry.post({ type: 'peerUnlinked', peer: name }) })
+      this.#timeline.after(this.#travelTime(index, from), () => { if (link.from === entry.incarnation) entry.post({ type: 'peerUnlinked', peer: name }) })
     }
   }
 
@@ -64,10 +64,10 @@
     const receiver = this.#entries[to] as EntryProcess
     if (link?.from !== sender.incarnation) return
     const { now } = this.#timeline
-    const travel = this.#travel(from, to)
-    const held = Math.max(this.#cuts.get(from) ?? 0, this.#cuts.get(to) ?? 0)
-    link.arrivesAt = Math.max(now + travel, link.arrivesAt + 0.001, held + travel)
-    this.#timeline.after(link.arrivesAt - now, () => {
+    const travelTime = this.#travelTime(from, to)
+    const cutUntil = Math.max(this.#cuts.get(from) ?? 0, this.#cuts.get(to) ?? 0)
+    link.earliestArrival = Math.max(now + travelTime, link.earliestArrival + 0.001, cutUntil + travelTime)
+    this.#timeline.after(link.earliestArrival - now, () => {
       if (receiver.alive && link.to === receiver.incarnation) receiver.post({ type: 'peerMessage', peer: sender.name, message })
     })
   }
--- a/packages/emulator/src/process.ts
+++ b/packages/emulator/src/process.ts
@@ -1,4 +1,4 @@
-/** A process that can be frozen, late, killed and started again, around one of the decision cores. */
+/** An emulated process around an entry or agent core. It can be frozen, delayed, killed and restarted. */
 import type { Timeline } from './timeline.ts'
 
 interface Core<Event, Effect> {
@@ -6,9 +6,9 @@
 }
 
 /** Interval of the event that carries time to a core, in milliseconds. */
-const TICK = 50
+const TICK_INTERVAL = 50
 
-/** Processor time in milliseconds, in which nothing else is handled; 0 for at once. */
+/** Processor time of an event or effect, in milliseconds. Later events wait that long; 0 handles an event at once. */
 export interface Costs<Event, Effect> {
   event: (event: Event) => number
   effect: (effect: Effect) => number
@@ -17,17 +17,17 @@
 export interface ProcessOptions<Event, Effect> {
   /** @default none */
   costs?: Costs<Event, Effect>
-  /** What one turn handles of the events that it finds, and in which order. @default all, in the order of their arrival */
+  /** Selects the pending events that a turn handles, and their order. @default all, in the order of their arrival */
   arrange?: (events: readonly Event[]) => readonly Event[]
 }
 
-const FREE = { event: () => 0, effect: () => 0 }
+const NO_COSTS = { event: () => 0, effect: () => 0 }
 
 export class Process<Event, Effect> {
   readonly name: string
   readonly #timeline: Timeline
-  readonly #make: () => Core<Event, Effect>
-  readonly #carryOut: (effect: Effect) => void
+  readonly #createCore: () => Core<Event, Effect>
+  readonly #executeEffect: (effect: Effect) => void
   readonly #costs: Costs<Event, Effect>
   readonly #arrange: (events: readonly Event[]) => readonly Event[]
   /** Processor time used so far, in milliseconds. */
@@ -36,23 +36,23 @@
   #core: Core<Event, Effect> | undefined
   #incarnation = 0
   #frozen = false
-  #waiting: Event[] = []
-  /** Turns are taken only now and again until then. */
-  #lateUntil = 0
-  #late = false
-  /** A tick is due at the next turn. */
+  #pendingEvents: Event[] = []
+  /** End of the period in which the process runs only occasional turns, on the timeline. */
+  #delayedUntil = 0
+  #delayed = false
+  /** Whether the next turn starts with a tick. Several missed ticks count as one. */
   #tickDue = false
-  /** Timers of this process that have run out since the last turn. */
-  #expired: Array<() => void> = []
-  /** The processor is busy with earlier events until then. */
+  /** Timers that came due while the process was frozen or delayed. */
+  #dueTimers: Array<() => void> = []
+  /** When the processor has finished the earlier events, on the timeline. */
   #busyUntil = 0
 
-  constructor (name: string, timeline: Timeline, make: () => Core<Event, Effect>, tick: Event, carryOut: (effect: Effect) => void, { costs = FREE, arrange = events => events }: ProcessOptions<Event, Effect> = {}) {
+  constructor (name: string, timeline: Timeline, createCore: () => Core<Event, Effect>, tick: Event, executeEffect: (effect: Effect) => void, { costs = NO_COSTS, arrange = events => events }: ProcessOptions<Event, Effect> = {}) {
     this.name = name
     this.#timeline = timeline
-    this.#make = make
+    this.#createCore = createCore
     this.#tickEvent = tick
-    this.#carryOut = carryOut
+    this.#executeEffect = executeEffect
     this.#costs = costs
     this.#arrange = arrange
   }
@@ -71,9 +71,9 @@
 
   start (): void {
     this.#incarnation += 1
-    this.#core = this.#make()
+    this.#core = this.#createCore()
     this.#frozen = false
-    this.#late = false
+    this.#delayed = false
     this.#clear()
     this.#busyUntil = 0
     this.#tick(this.#incarnation)
@@ -92,118 +92,118 @@
   }
 
   /**
-   * For a while it takes turns only now and again: each finds all that has reached the process since the one before.
+   * For a while the process runs only occasional turns. Each handles everything that has arrived since the previous one.
    *
-   * @param pause time to the next turn, in milliseconds
+   * @param interval returns the time to the next turn, in milliseconds
    */
-  delay (milliseconds: number, pause: () => number): void {
+  delay (milliseconds: number, interval: () => number): void {
     if (this.#core === undefined) return
-    this.#lateUntil = Math.max(this.#lateUntil, this.#timeline.now + milliseconds)
-    if (this.#late) return
-    this.#late = true
-    this.#takeTurnsLate(this.#incarnation, pause)
+    this.#delayedUntil = Math.max(this.#delayedUntil, this.#timeline.now + milliseconds)
+    if (this.#delayed) return
+    this.#delayed = true
+    this.#scheduleTurns(this.#incarnation, interval)
   }
 
-  /** A timer of the process: one that is late finds it when it takes its turn, after what has reached it until then. */
+  /** Starts a timer of the process. While the process is delayed, a due timer runs in the next turn, after the events that arrived before it. */
   after (milliseconds: number, run: () => void): void {
     const incarnation = this.#incarnation
     this.#timeline.after(milliseconds, () => {
       if (this.#core === undefined || incarnation !== this.#incarnation) return
-      if (this.#frozen || this.#late) this.#expired.push(run)
+      if (this.#frozen || this.#delayed) this.#dueTimers.push(run)
       else run()
     })
   }
 
-  /** Hands an event over; a frozen process finds it when it wakes, a late one with its next turn, a dead one never. */
+  /** Delivers an event. A frozen process handles it on waking, a delayed one in its next turn; a dead one drops it. */
   post (event: Event): void {
     if (this.#core === undefined) return
-    if (this.#frozen || this.#late) {
-      this.#waiting.push(event)
+    if (this.#frozen || this.#delayed) {
+      this.#pendingEvents.push(event)
       return
     }
     const cost = this.#costs.event(event)
     const { now } = this.#timeline
     if (cost === 0 && now >= this.#busyUntil) return this.#handle(event)
     const incarnation = this.#incarnation
-    this.#spend(cost)
+    this.#useProcessor(cost)
     this.#timeline.after(this.#busyUntil - now, () => { if (incarnation === this.#incarnation) this.#handle(event) })
   }
 
   #handle (event: Event): void {
     if (this.#core === undefined) return
     if (this.#frozen) {
-      this.#waiting.push(event)
+      this.#pendingEvents.push(event)
       return
     }
     for (const effect of this.#core.handle(event, this.#timeline.now)) {
-      this.#spend(this.#costs.effect(effect))
-      this.#carryOut(effect)
+      this.#useProcessor(this.#costs.effect(effect))
+      this.#executeEffect(effect)
     }
   }
 
-  #takeTurnsLate (incarnation: number, pause: () => number): void {
-    this.#timeline.after(pause(), () => {
+  #scheduleTurns (incarnation: number, interval: () => number): void {
+    this.#timeline.after(interval(), () => {
       if (incarnation !== this.#incarnation || this.#core === undefined) return
-      const ends = this.#timeline.now >= this.#lateUntil
-      if (!this.#frozen) this.#takeTurn()
-      if (ends) this.#late = false
-      else this.#takeTurnsLate(incarnation, pause)
+      const isLast = this.#timeline.now >= this.#delayedUntil
+      if (!this.#frozen) this.#runTurn()
+      if (isLast) this.#delayed = false
+      else this.#scheduleTurns(incarnation, interval)
     })
   }
 
-  /** Everything that has arrived is handled before any effect is carried out, as the daemons' loops do. */
-  #takeTurn (): void {
-    this.#handleAll(this.#arrived())
-    const expired = this.#expired
-    this.#expired = []
-    for (const run of expired) run()
-    this.#handleAll(this.#arrived())
+  /** Handles all pending events before executing any of their effects, as the event loops of the daemons do. */
+  #runTurn (): void {
+    this.#handleAll(this.#takePendingEvents())
+    const timers = this.#dueTimers
+    this.#dueTimers = []
+    for (const run of timers) run()
+    this.#handleAll(this.#takePendingEvents())
   }
 
-  /** What has arrived since the last turn; timers run before anything is read. */
-  #arrived (): readonly Event[] {
-    const events = this.#tickDue ? [this.#tickEvent, ...this.#waiting] : this.#waiting
-    this.#waiting = []
+  /** Events since the last turn. The tick comes first, because an event loop runs its timers before it reads its sockets. */
+  #takePendingEvents (): readonly Event[] {
+    const events = this.#tickDue ? [this.#tickEvent, ...this.#pendingEvents] : this.#pendingEvents
+    this.#pendingEvents = []
     this.#tickDue = false
     return this.#arrange(events)
   }
 
   #handleAll (events: readonly Event[]): void {
     const effects = events.flatMap(event => {
-      this.#spend(this.#costs.event(event))
+      this.#useProcessor(this.#costs.event(event))
       return this.#core?.handle(event, this.#timeline.now) ?? []
     })
     for (const effect of effects) {
-      this.#spend(this.#costs.effect(effect))
-      this.#carryOut(effect)
+      this.#useProcessor(this.#costs.effect(effect))
+      this.#executeEffect(effect)
     }
   }
 
   #clear (): void {
-    this.#waiting = []
-    this.#expired = []
+    this.#pendingEvents = []
+    this.#dueTimers = []
     this.#tickDue = false
   }
 
-  #spend (milliseconds: number): void {
+  #useProcessor (milliseconds: number): void {
     this.used += milliseconds
     this.#busyUntil = Math.max(this.#timeline.now, this.#busyUntil) + milliseconds
   }
 
   #thaw (): void {
     this.#frozen = false
-    if (this.#late) return this.#takeTurn()
-    const events = this.#arrived()
-    const expired = this.#expired
-    this.#expired = []
+    if (this.#delayed) return this.#runTurn()
+    const events = this.#takePendingEvents()
+    const timers = this.#dueTimers
+    this.#dueTimers = []
     for (const event of events) this.post(event)
-    for (const run of expired) run()
+    for (const run of timers) run()
   }
 
   #tick (incarnation: number): void {
     if (incarnation !== this.#incarnation || this.#core === undefined) return
-    if (this.#late) this.#tickDue = true
+    if (this.#delayed) this.#tickDue = true
     else if (!this.#frozen) this.post(this.#tickEvent)
-    this.#timeline.after(TICK, () => this.#tick(incarnation))
+    this.#timeline.after(TICK_INTERVAL, () => this.#tick(incarnation))
   }
 }
--- a/packages/emulator/src/troubles.ts
+++ b/packages/emulator/src/troubles.ts
@@ -31,11 +31,11 @@
   [TroubleKind.Slow]: (scene, trouble) => setRates(scene, trouble, 1 / trouble.factor),
   [TroubleKind.Fail]: ({ fleet, timeline, random }, { share, factor, lasts }) => {
     for (const target of some(fleet.targets.length, share, random)) {
-      fleet.setFailing(target, factor)
-      timeline.after(lasts, () => fleet.setFailing(target, 0))
+      fleet.setFailureRate(target, factor)
+      timeline.after(lasts, () => fleet.setFailureRate(target, 0))
     }
   },
-  [TroubleKind.LateOrders]: ({ fleet }, { share, lasts }) => { for (const target of fleet.targets) target.carryOutLate(lasts, share) },
+  [TroubleKind.LateOrders]: ({ fleet }, { share, lasts }) => { for (const target of fleet.targets) target.executeLate(lasts, share) },
   [TroubleKind.LostAnswers]: ({ fleet }, { share, lasts }) => { for (const target of fleet.targets) target.loseAnswers(lasts, share) },
   [TroubleKind.Crash]: ({ fleet, random }, { share, lasts }) => {
     for (const target of some(fleet.targets.length, share, random)) fleet.targets[target]?.crash(lasts)
@@ -51,12 +51,12 @@
     for (const target of some(fleet.targets.length, share, random)) fleet.targets[target]?.leave(LEAVING_MILLISECONDS)
   },
   [TroubleKind.Notice]: ({ fleet, random }, { share, lasts }) => {
-    for (const target of some(fleet.targets.length, share, random)) fleet.targets[target]?.leave(lasts, { states: true })
+    for (const target of some(fleet.targets.length, share, random)) fleet.targets[target]?.leave(lasts, { announcesEnd: true })
   },
   [TroubleKind.Shrink]: ({ fleet, timeline, random }, { share, factor, lasts }) => {
     for (const target of some(fleet.targets.length, share, random)) {
-      fleet.targets[target]?.setSize(factor)
-      timeline.after(lasts, () => fleet.targets[target]?.setSize(1))
+      fleet.targets[target]?.setCapacityFraction(factor)
+      timeline.after(lasts, () => fleet.targets[target]?.setCapacityFraction(1))
     }
   },
   [TroubleKind.CutEntries]: ({ fleet, random }, { share, lasts }) => {
--- a/packages/emulator/test/capacitycheck.test.ts
+++ b/packages/emulator/test/capacitycheck.test.ts
@@ -8,21 +8,21 @@
 
 test('a start over the capacity counts, one over a capacity that has shrunk only later', () => {
   const check = new CapacityCheck(8000, 100)
-  check.noteStart(8000, 0)
-  check.noteCapacity(4000, 1000)
-  check.noteStart(8000, 1099)
+  check.recordStart(8000, 0)
+  check.recordCapacity(4000, 1000)
+  check.recordStart(8000, 1099)
   expect(check.startsOver).toEqual(0)
-  check.noteStart(8000, 1100)
-  check.noteStart(9000, 1100)
+  check.recordStart(8000, 1100)
+  check.recordStart(9000, 1100)
   expect(check.startsOver).toEqual(2)
 })
 
 test('tasks that began at a leaving target and are cut off count', () => {
   const check = new CapacityCheck(8000, 100)
-  check.noteStart(1000, 0)
-  check.noteLeaving(1000)
-  check.noteStart(1000, 1500)
-  check.noteEnd([0, 1500])
+  check.recordStart(1000, 0)
+  check.recordLeaving(1000)
+  check.recordStart(1000, 1500)
+  check.recordEnd([0, 1500])
   expect([check.begunLeaving, check.cutOff]).toEqual([1, 1])
 })
 
--- a/packages/emulator/test/emulatedtarget.test.ts
+++ b/packages/emulator/test/emulatedtarget.test.ts
@@ -10,17 +10,17 @@
 const TIMEOUT = 100
 const DEADLINE = 1000
 
-interface Bench {
+interface Fixture {
   timeline: Timeline
   target: EmulatedTarget
   events: AgentEvent[]
   instance: string
 }
 
-function targetWithTask (): Bench {
+function targetWithTask (): Fixture {
   const timeline = new Timeline()
   const events: AgentEvent[] = []
-  const traits = {
+  const options = {
     service: 'checks',
     dataCentre: 'one',
     labels: [],
@@ -28,12 +28,12 @@
     clockRate: 1,
     longestLease: 2000,
     heartbeat: 10_000,
-    news: 4000,
+    capacityGrace: 4000,
     pollsWait: true,
     plan: () => ({ duration: 5000, fails: false }),
     cpuOf: () => 1000
   }
-  const target = new EmulatedTarget(timeline, new SeededRandom(1), traits, event => { events.push(event) })
+  const target = new EmulatedTarget(timeline, new SeededRandom(1), options, event => { events.push(event) })
   const instance = events.flatMap(event => event.type === 'targetSeen' ? [event.facts.instance] : [])[0] ?? ''
   target.start({ type: 'start', instance, token: TOKEN, task: 'a', run: 1, payload: '', deadline: DEADLINE, timeout: TIMEOUT })
   timeline.runUntil(10)
@@ -41,13 +41,13 @@
   return { timeline, target, events, instance }
 }
 
-function tasksOf ({ target }: Bench): string[] {
+function tasksOf ({ target }: Fixture): string[] {
   return target.running().map(({ task }) => task)
 }
 
-test('a target that refuses connections breaks open calls off, and its tasks run on', () => {
-  const bench = targetWithTask()
-  const { timeline, target, events, instance } = bench
+test('a target that refuses connections breaks open calls, and its tasks continue', () => {
+  const fixture = targetWithTask()
+  const { timeline, target, events, instance } = fixture
   target.poll({ type: 'poll', instance, token: TOKEN, sent: 10, deadline: undefined, acknowledged: 0, wait: 500, timeout: 600 })
   timeline.runUntil(20)
   target.refuse(200)
@@ -58,30 +58,30 @@
     { type: 'pollFailed', instance, sent: 10, failure: PollFailure.Silent },
     { type: 'startAnswered', instance, task: 'b', run: 1, answer: StartAnswer.NoListener }
   ])
-  expect(tasksOf(bench)).toEqual(['a'])
+  expect(tasksOf(fixture)).toEqual(['a'])
 })
 
-test('a target that refused connections answers again', () => {
-  const bench = targetWithTask()
-  bench.target.refuse(200)
-  bench.timeline.runUntil(250)
-  bench.target.poll({ type: 'poll', instance: bench.instance, token: TOKEN, sent: 250, deadline: undefined, acknowledged: 0, wait: 0, timeout: TIMEOUT })
-  bench.timeline.runUntil(300)
-  expect(bench.events.map(({ type }) => type)).toEqual(['polled'])
+test('a target answers again after it has refused connections', () => {
+  const fixture = targetWithTask()
+  fixture.target.refuse(200)
+  fixture.timeline.runUntil(250)
+  fixture.target.poll({ type: 'poll', instance: fixture.instance, token: TOKEN, sent: 250, deadline: undefined, acknowledged: 0, wait: 0, timeout: TIMEOUT })
+  fixture.timeline.runUntil(300)
+  expect(fixture.events.map(({ type }) => type)).toEqual(['polled'])
 })
 
-test('a target that loses stops answers polls, and its tasks run on', () => {
-  const bench = targetWithTask()
-  const { timeline, target, events, instance } = bench
+test('a target that loses stop calls still answers polls, and its tasks continue', () => {
+  const fixture = targetWithTask()
+  const { timeline, target, events, instance } = fixture
   target.loseStops(500)
   target.stop({ type: 'stop', instance, token: TOKEN, task: 'a', run: 1, timeout: TIMEOUT })
   target.poll({ type: 'poll', instance, token: TOKEN, sent: 10, deadline: undefined, acknowledged: 0, wait: 0, timeout: TIMEOUT })
   timeline.runUntil(200)
   expect(events.map(({ type }) => type)).toEqual(['polled', 'stopAnswered'])
-  expect(tasksOf(bench)).toEqual(['a'])
+  expect(tasksOf(fixture)).toEqual(['a'])
 })
 
-test('a slow target answers 50 to 400 ms later', () => {
+test('a slow target answers with a delay of 50 to 400 ms', () => {
   const { timeline, target, events, instance } = targetWithTask()
   target.answerSlowly(500)
   target.poll({ type: 'poll', instance, token: TOKEN, sent: 10, deadline: undefined, acknowledged: 0, wait: 0, timeout: 1000 })
@@ -91,26 +91,26 @@
   expect(events.map(({ type }) => type)).toEqual(['polled'])
 })
 
-test('a target that lingers runs its tasks on after it has deregistered, and is heard no more', () => {
-  const bench = targetWithTask()
-  const { timeline, target, events, instance } = bench
+test('a lingering target continues its tasks after it has deregistered, and sends no more heartbeats', () => {
+  const fixture = targetWithTask()
+  const { timeline, target, events, instance } = fixture
   target.leave(100, { lingers: 150 })
   timeline.runUntil(150)
   target.announce()
   expect(events.map(({ type }) => type)).toEqual(['targetSeen', 'targetLeft'])
   expect(events.at(-1)).toEqual({ type: 'targetLeft', instance })
-  expect(tasksOf(bench)).toEqual(['a'])
+  expect(tasksOf(fixture)).toEqual(['a'])
   timeline.runUntil(300)
-  expect(tasksOf(bench)).toEqual([])
+  expect(tasksOf(fixture)).toEqual([])
 })
 
-test('a target that lingers may refuse connections meanwhile', () => {
-  const bench = targetWithTask()
-  const { timeline, target, events, instance } = bench
+test('a lingering target can refuse connections', () => {
+  const fixture = targetWithTask()
+  const { timeline, target, events, instance } = fixture
   target.leave(100, { lingers: 150, refuses: true })
   timeline.runUntil(150)
   target.poll({ type: 'poll', instance, token: TOKEN, sent: 150, deadline: undefined, acknowledged: 0, wait: 0, timeout: TIMEOUT })
   timeline.runUntil(200)
   expect(events.at(-1)).toEqual({ type: 'pollFailed', instance, sent: 150, failure: PollFailure.NoListener })
-  expect(tasksOf(bench)).toEqual(['a'])
+  expect(tasksOf(fixture)).toEqual(['a'])
 })
--- a/packages/emulator/test/process.test.ts
+++ b/packages/emulator/test/process.test.ts
@@ -26,7 +26,7 @@
   return process
 }
 
-test('a late process handles all that reached it in one turn, in the order of its arrival', () => {
+test('a delayed process handles all pending events in one turn, in the order of their arrival', () => {
   const timeline = new Timeline()
   const handled: Handled[] = []
   const process = processOn(timeline, handled)
@@ -39,7 +39,7 @@
   expect(handled).toEqual([{ event: 'a', at: 200 }, { event: 'b', at: 200 }, { event: 'c', at: 400 }, { event: 'd', at: 450 }])
 })
 
-test('a late process has one tick in a turn, before what it reads there', () => {
+test('a delayed process handles one tick per turn, before the other events', () => {
   const timeline = new Timeline()
   const seen: string[] = []
   const make = (): Core => ({
@@ -56,7 +56,7 @@
   expect(seen).toEqual(['tick', 'tick', 'a'])
 })
 
-test('a timer of a late process runs in its next turn, after what had arrived until then', () => {
+test('a timer of a delayed process runs in the next turn, after the events that had arrived', () => {
   const timeline = new Timeline()
   const handled: Handled[] = []
   const process = processOn(timeline, handled)
@@ -67,7 +67,7 @@
   expect(handled).toEqual([{ event: 'answer', at: 200 }, { event: 'timer', at: 200 }])
 })
 
-test('a late process handles what a turn finds in the order of its program', () => {
+test('a delayed process handles the events of a turn in the order that its option returns', () => {
   const timeline = new Timeline()
   const handled: Handled[] = []
   const process = processOn(timeline, handled, events => [...events].sort())
@@ -77,7 +77,7 @@
   expect(handled.map(({ event }) => event)).toEqual(['a', 'b', 'c'])
 })
 
-test('a process that was killed while late starts anew without what had reached it', () => {
+test('a process that is killed while delayed restarts without its pending events and timers', () => {
   const timeline = new Timeline()
   const handled: Handled[] = []
   const process = processOn(timeline, handled)
