--- a/packages/dispatch/explore/world.ts
+++ b/packages/dispatch/explore/world.ts
@@ -182,7 +182,7 @@
     const entry = this.entries[index] as EntryProcess
     if (!entry.alive) return
     entry.kill()
-    this.#peers.entryEnded(index, false)
+    this.#peers.ended(index, false)
     this.agents.forEach((_agent, agent) => this.#connections.closeByEntry(pairOf(index, agent)))
     this.callers.breakOff(index)
     this.timeline.after(milliseconds, () => {
@@ -344,7 +344,7 @@
 
   #dials (index: number, other: number): boolean {
     const pair = pairOf(index, other)
-    return [this.entries[index], this.agents[other]].every(process => process?.alive === true && !process.frozen) && !this.#connections.isCut(pair) && !this.#connections.has(pair)
+    return [this.entries[index], this.agents[other]].every(process => process?.alive === true && !process.frozen) && !this.#connections.isCut(pair) && !this.#connections.get(pair)
   }
 
   #dial (index: number, other: number): void {
--- a/packages/emulator/src/callers.ts
+++ b/packages/emulator/src/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of one emulated day: each submits its job once, comes back when its connection breaks, and leaves at its deadline. */
+/** The callers of an emulated day. Each submits one job, resubmits it when its connection breaks, and leaves at its deadline. */
 import type { Answer } from '@amaranthmast/dispatch/entrytypes'
 import type { SeededRandom } from '@amaranthmast/standins/random'
 import type { DayPlan, JobPlan } from './dayplan.ts'
@@ -7,32 +7,32 @@
 import { AnswerKind } from '@amaranthmast/dispatch/entrytypes'
 import { BOUNDS } from './fleet.ts'
 
-/** How a caller fared. */
-export enum Fate {
+/** What became of a caller's job. The credit of a day counts every outcome except `Left`. */
+export enum Outcome {
   InTime = 'inTime',
   Late = 'late',
-  /** Answered too late to count, or the deadline passed. */
+  /** Answered too late for any credit, or the deadline passed. */
   TooLate = 'tooLate',
   Refused = 'refused',
   Failed = 'failed',
-  /** It left early by itself. */
+  /** The caller left before the deadline, or no target can run the job. */
   Left = 'left'
 }
 
-export interface Verdict {
+export interface JobResult {
   job: JobPlan
-  fate: Fate
+  outcome: Outcome
   /** From the first submission to the answer, in milliseconds. */
-  took: number
-  /** Part of the job's worth that its caller got. */
+  elapsed: number
+  /** Credit the caller received, from 0 to the job's worth. */
   credit: number
   /** From the last submission to the answer, in milliseconds. */
-  answeredAfter: number
+  responseTime: number
 }
 
-/** A late answer counts a fifth, up to three times the objective (the users' rule of credit). */
+/** A late answer, up to three times the objective, earns a fifth of the credit (the users' rule). */
 const LATE_CREDIT = 0.2
-const LATE_FACTOR = 3
+const MAX_LATE_FACTOR = 3
 
 const MILLISECONDS_PER_SECOND = 1000
 
@@ -44,7 +44,7 @@
 }
 
 export class Callers {
-  readonly verdicts: Verdict[] = []
+  readonly results: JobResult[] = []
   readonly #plan: DayPlan
   readonly #timeline: Timeline
   readonly #random: SeededRandom
@@ -61,7 +61,7 @@
   }
 
   /** Submits every job of the day at its time. */
-  begin (): void {
+  start (): void {
     const { now } = this.#timeline
     for (const job of this.#plan.jobs) {
       this.#timeline.after(job.at, () => this.#submit(job))
@@ -75,25 +75,25 @@
     if (caller === undefined) return
     this.#waiting.delete(request)
     this.#timeline.after(this.#plan.delays.callers, () => {
-      if (kind === AnswerKind.TimedOut) return this.#comeBack(caller.job)
-      if (kind === AnswerKind.Refused && caller.job.returns) return this.#comeBack(caller.job, wholeSeconds(retryAfter))
+      if (kind === AnswerKind.TimedOut) return this.#resubmit(caller.job)
+      if (kind === AnswerKind.Refused && caller.job.returns) return this.#resubmit(caller.job, roundUpToSeconds(retryAfter))
       this.#settle(caller, kind)
     })
   }
 
-  /** @param powerLost callers get no sign of it */
+  /** @param powerLost whether callers are not notified, because the machine lost power */
   entryEnded (entry: number, powerLost: boolean): void {
     for (const [request, caller] of this.#waiting) {
       if (caller.entry !== entry) continue
       this.#waiting.delete(request)
-      if (!powerLost) this.#comeBack(caller.job)
+      if (!powerLost) this.#resubmit(caller.job)
     }
   }
 
   #submit (job: JobPlan): void {
     if (this.#settled.has(job.id)) return
     const entry = this.#chooseEntry(job.dataCentre)
-    if (entry === undefined) return this.#comeBack(job)
+    if (entry === undefined) return this.#resubmit(job)
     this.#requests += 1
     const request = this.#requests
     this.#waiting.set(request, { job, entry, request, submittedAt: this.#timeline.now })
@@ -106,50 +106,50 @@
 
   #chooseEntry (dataCentre: string): number | undefined {
     const serving = [...this.#plan.entries.keys()].filter(index => this.#fleet().isServing(index))
-    const near = serving.filter(index => this.#plan.entries[index]?.dataCentre === dataCentre)
+    const local = serving.filter(index => this.#plan.entries[index]?.dataCentre === dataCentre)
     if (serving.length === 0) return undefined
-    return this.#random.pick(near.length > 0 ? near : serving)
+    return this.#random.pick(local.length > 0 ? local : serving)
   }
 
-  #comeBack (job: JobPlan, pause = BOUNDS.resubmission): void {
-    this.#timeline.after(pause, () => this.#submit(job))
+  #resubmit (job: JobPlan, delay = BOUNDS.resubmission): void {
+    this.#timeline.after(delay, () => this.#submit(job))
   }
 
-  #leave (job: JobPlan, byItself: boolean): void {
+  #leave (job: JobPlan, leftEarly: boolean): void {
     if (this.#settled.has(job.id)) return
     for (const [request, caller] of this.#waiting) {
       if (caller.job !== job) continue
       this.#waiting.delete(request)
       this.#fleet().entries[caller.entry]?.post({ type: 'requestGone', request })
     }
-    this.#record(job, byItself ? Fate.Left : Fate.TooLate)
+    this.#record(job, leftEarly ? Outcome.Left : Outcome.TooLate)
   }
 
   #settle ({ job, submittedAt }: Caller, kind: AnswerKind): void {
     if (this.#settled.has(job.id)) return
-    if (kind === AnswerKind.Refused) return this.#record(job, Fate.Refused, submittedAt)
-    if (kind !== AnswerKind.Completed) return this.#record(job, job.poisoned && kind === AnswerKind.Failed ? this.#timeliness(job) : Fate.Failed, submittedAt)
-    this.#record(job, this.#timeliness(job), submittedAt)
+    if (kind === AnswerKind.Refused) return this.#record(job, Outcome.Refused, submittedAt)
+    if (kind !== AnswerKind.Completed) return this.#record(job, job.poisoned && kind === AnswerKind.Failed ? this.#outcomeByTime(job) : Outcome.Failed, submittedAt)
+    this.#record(job, this.#outcomeByTime(job), submittedAt)
   }
 
-  #timeliness (job: JobPlan): Fate {
-    const took = this.#timeline.now - job.at
+  #outcomeByTime (job: JobPlan): Outcome {
+    const elapsed = this.#timeline.now - job.at
     const runs = job.poisoned ? job.queue.attempts : 1
     const objective = job.queue.slackFactor * runs * Math.max(...job.tasks) + job.queue.latency
-    if (took <= objective) return Fate.InTime
-    return took <= LATE_FACTOR * objective ? Fate.Late : Fate.TooLate
+    if (elapsed <= objective) return Outcome.InTime
+    return elapsed <= MAX_LATE_FACTOR * objective ? Outcome.Late : Outcome.TooLate
   }
 
-  #record (job: JobPlan, earned: Fate, submittedAt = job.at): void {
+  #record (job: JobPlan, earned: Outcome, submittedAt = job.at): void {
     this.#settled.add(job.id)
-    // A job that nobody can do isn't owed.
-    const fate = job.crashing === undefined ? earned : Fate.Left
-    const part = fate === Fate.InTime ? 1 : fate === Fate.Late ? LATE_CREDIT : 0
-    this.verdicts.push({ job, fate, took: this.#timeline.now - job.at, credit: part * job.worth, answeredAfter: this.#timeline.now - submittedAt })
+    // A job that crashes every target cannot be completed, so it does not count.
+    const outcome = job.crashing === undefined ? earned : Outcome.Left
+    const creditFraction = outcome === Outcome.InTime ? 1 : outcome === Outcome.Late ? LATE_CREDIT : 0
+    this.results.push({ job, outcome, elapsed: this.#timeline.now - job.at, credit: creditFraction * job.worth, responseTime: this.#timeline.now - submittedAt })
   }
 }
 
-/** As the header tells it. */
-function wholeSeconds (milliseconds: number): number {
+/** Rounds up to whole seconds, as the Retry-After header states them. */
+function roundUpToSeconds (milliseconds: number): number {
   return Math.ceil(milliseconds / MILLISECONDS_PER_SECOND) * MILLISECONDS_PER_SECOND
 }
--- a/packages/emulator/src/calltroubles.ts
+++ b/packages/emulator/src/calltroubles.ts
@@ -1,46 +1,46 @@
-/** What can happen to a call on its way to an emulated target and back. */
+/** Faults of calls to an emulated target: delayed execution, lost answers, slow answers, lost stops and refused connections. */
 import type { SeededRandom } from '@amaranthmast/standins/random'
 import type { Timeline } from './timeline.ts'
 
-/** A call on the same machine takes this long one way, in milliseconds. */
+/** Minimum and range of the one-way travel time of a call on the same machine, in milliseconds. */
 const MIN_TRAVEL = 0.2
 const TRAVEL_RANGE = 2
 
-/** An order that is carried out late is so by this much, in milliseconds. */
+/** Minimum and range of the delay of an order that is executed late, in milliseconds. */
 const MIN_ORDER_DELAY = 2000
 const ORDER_DELAY_RANGE = 10_000
 
-/** A slow answer takes this much longer, in milliseconds. */
+/** Minimum and range of the additional time of a slow answer, in milliseconds. */
 const MIN_ANSWER_DELAY = 50
 const ANSWER_DELAY_RANGE = 350
 
-/** Part of the orders under way that are carried out though their connections break. */
+/** Fraction of the orders in transit that are executed although their connections break. */
 const EXECUTED_FRACTION = 0.5
 
-/** A share of the calls until a time. */
+/** A fault that affects a share of the calls until a time. */
 interface ActivePeriod {
   until: number
   share: number
 }
 
-/** How one call fares. Durations in milliseconds. */
+/** Faults of one call. Durations in milliseconds. */
 export interface CallOutcome {
-  /** It waits inside the target, and is carried out late. */
+  /** Whether it waits inside the target and is executed late. */
   late: boolean
-  /** Its answer is lost. */
+  /** Whether its answer is lost. */
   lost: boolean
-  /** Until the order arrives. */
+  /** Time until the order arrives. */
   order: number
-  /** How much later than usual its answer leaves. */
+  /** Additional time before its answer is sent. */
   answer: number
 }
 
 export class CallTroubles {
   readonly #timeline: Timeline
   readonly #random: SeededRandom
-  /** Orders that are lost to the caller and carried out late. */
+  /** Orders that are executed late, with no response to the caller. */
   #lateOrders: ActivePeriod = { until: 0, share: 0 }
-  /** Answers are lost until then, while orders are carried out. */
+  /** Orders that are executed and whose answers are lost. */
   #lostAnswers: ActivePeriod = { until: 0, share: 0 }
   #slowUntil = 0
   #stopsLostUntil = 0
@@ -71,7 +71,7 @@
     this.#refusesUntil = Math.max(this.#refusesUntil, this.#timeline.now + milliseconds)
   }
 
-  /** Another life listens. */
+  /** Ends a refusal of connections: a new incarnation accepts calls. */
   acceptCalls (): void {
     this.#refusesUntil = 0
   }
@@ -80,12 +80,12 @@
     return this.#timeline.now < this.#refusesUntil
   }
 
-  /** Orders to stop are not carried out, and not answered. */
+  /** Whether stop calls are neither executed nor answered. */
   get losesStops (): boolean {
     return this.#timeline.now < this.#stopsLostUntil
   }
 
-  /** Draws how the next call fares. */
+  /** Draws the faults of the next call. */
   next (): CallOutcome {
     const { now } = this.#timeline
     const late = now < this.#lateOrders.until && this.#random.next() < this.#lateOrders.share
@@ -96,12 +96,12 @@
     return { late, lost, order: order + this.travelTime(), answer: slowness - order }
   }
 
-  /** Time of a call one way, in milliseconds. */
+  /** Draws the one-way travel time of a call, in milliseconds. */
   travelTime (): number {
     return MIN_TRAVEL + this.#random.next() * TRAVEL_RANGE
   }
 
-  /** Whether an order whose connection broke under way is carried out nevertheless. */
+  /** Draws whether an order is executed although its connection broke in transit. */
   executesDespiteDisconnect (): boolean {
     return this.#random.next() < EXECUTED_FRACTION
   }
--- a/packages/emulator/src/comparison.ts
+++ b/packages/emulator/src/comparison.ts
@@ -3,7 +3,7 @@
 import { mean, sampleStandardDeviation } from 'simple-statistics'
 
 /** One day under one variant. */
-export interface Played {
+export interface PlayedDay {
   variant: string
   seed: number
   figures: DayFigures
@@ -26,8 +26,8 @@
 export type VariantSummary = { variant: string, days: number } & Record<keyof DayFigures, FigureSummary>
 
 /** Figures of every variant; the first one is what the others are compared with. */
-export function compare (played: readonly Played[], variants: readonly string[]): VariantSummary[] {
-  const bySeed = (variant: string): Played[] => played.filter(day => day.variant === variant).sort((one, other) => one.seed - other.seed)
+export function compare (played: readonly PlayedDay[], variants: readonly string[]): VariantSummary[] {
+  const bySeed = (variant: string): PlayedDay[] => played.filter(day => day.variant === variant).sort((one, other) => one.seed - other.seed)
   const first = bySeed(variants[0] ?? '')
   return variants.map(variant => {
     const days = bySeed(variant)
--- a/packages/emulator/src/connections.ts
+++ b/packages/emulator/src/connections.ts
@@ -1,6 +1,7 @@
-/** Connections between entries and agents: ordered, delayed, and held up or broken by faults. */
+/** Connections between entries and agents. Messages stay in order, take time, and are delayed or lost by faults. */
 import type { Timeline } from './timeline.ts'
 
+/** Callbacks of one end of a connection. */
 export interface LinkEnd {
   linked: () => void
   received: (message: unknown) => void
@@ -12,7 +13,7 @@
   agent: LinkEnd
   entryOpen: boolean
   agentOpen: boolean
-  /** Earliest arrival of the next message at each end: messages of one direction stay in order. */
+  /** Earliest arrival of the next message at each end. It keeps the messages of a direction in order. */
   atEntry: number
   atAgent: number
 }
@@ -21,16 +22,16 @@
   readonly #timeline: Timeline
   readonly #travelTime: (pair: string) => number
   readonly #connections = new Map<string, Connection>()
-  /** Until when a pair is cut. */
+  /** When the cut of a pair ends, on the timeline. */
   readonly #cuts = new Map<string, number>()
 
-  /** @param travelTime how long the next message of a pair travels, in milliseconds */
+  /** @param travelTime returns the travel time of the next message of a pair, in milliseconds */
   constructor (timeline: Timeline, travelTime: (pair: string) => number) {
     this.#timeline = timeline
     this.#travelTime = travelTime
   }
 
-  has (pair: string): boolean {
+  get (pair: string): boolean {
     return this.#connections.has(pair)
   }
 
@@ -42,7 +43,7 @@
     return (this.#cuts.get(pair) ?? 0) > this.#timeline.now
   }
 
-  /** A new connection replaces an earlier one: its ends hear of that, and nothing of the old one is heard. */
+  /** Opens a connection. It replaces an earlier one of the pair, whose agent end is closed and whose messages are dropped. */
   open (pair: string, entry: LinkEnd, agent: LinkEnd): void {
     this.#connections.get(pair)?.agent.unlinked()
     const connection: Connection = { entry, agent, entryOpen: true, agentOpen: true, atEntry: 0, atAgent: 0 }
@@ -51,7 +52,7 @@
     entry.linked()
   }
 
-  /** Breaks a connection off at the entry's end; the agent hears of it when the news arrives. */
+  /** Closes a connection at the entry's end. The agent's end closes after the travel time. */
   closeByEntry (pair: string): void {
     const connection = this.#connections.get(pair)
     if (connection?.entryOpen !== true) return
@@ -60,7 +61,7 @@
     this.#deliver(pair, connection, 'atAgent', () => this.#closeAgentEnd(pair, connection))
   }
 
-  /** Both ends lose it without a sign, as when a machine loses power. */
+  /** Drops a connection without notifying either end, as when a machine loses power. */
   drop (pair: string): void {
     this.#connections.delete(pair)
   }
@@ -102,7 +103,7 @@
     if (!connection.entryOpen && !connection.agentOpen) this.#connections.delete(pair)
   }
 
-  /** What a cut holds up arrives after it, as long as the connection is the pair's present one. */
+  /** Messages sent during a cut arrive after it, unless the connection has been replaced or dropped by then. */
   #deliver (pair: string, connection: Connection, direction: 'atEntry' | 'atAgent', action: () => void): void {
     const { now } = this.#timeline
     const travelTime = this.#travelTime(pair)
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -1,6 +1,6 @@
-/** Plays one day of an experiment under one policy. */
+/** Emulates one day of an experiment under one policy. */
 import type { Policy } from '@amaranthmast/dispatch/policy'
-import type { Verdict } from './callers.ts'
+import type { JobResult } from './callers.ts'
 import type { Experiment } from './experiment.ts'
 import type { DayFigures } from './figures.ts'
 import { SeededRandom } from '@amaranthmast/standins/random'
@@ -11,18 +11,18 @@
 import { Timeline } from './timeline.ts'
 import { schedule } from './troubles.ts'
 
-/** The fleet runs for so long before the first job, in milliseconds. */
-const LEAD_MILLISECONDS = 2000
+/** How long the fleet runs before the load starts, in milliseconds. */
+const WARM_UP_MILLISECONDS = 2000
 
-/** Another stream of random numbers than that of the plan, so that a policy does not change the load. */
+/** Offset of the seed of the run from that of the plan. Separate random streams keep a policy from changing the load. */
 const PLAY_SEED_OFFSET = 1_000_003
 
 export interface Day {
   figures: DayFigures
-  verdicts: readonly Verdict[]
+  results: readonly JobResult[]
 }
 
-/** @param note hears every line that a process would log */
+/** @param note receives every line that a process logs; `at` is in milliseconds from the start of the load */
 export function playDay (experiment: Experiment, seed: number, policy: Partial<Policy>, note?: (at: number, process: string, what: string, fields: Record<string, unknown>) => void): Day {
   const plan = drawDay(experiment, seed)
   const timeline = new Timeline()
@@ -31,15 +31,15 @@
   const fleet = new EmulatedFleet(plan, timeline, random, policy, {
     answered: (request, answer) => callers.answered(request, answer),
     entryEnded: (entry, powerLost) => callers.entryEnded(entry, powerLost),
-    ...(note === undefined ? {} : { note: (process, what, fields) => note(timeline.now - LEAD_MILLISECONDS, process, what, fields) })
+    ...(note === undefined ? {} : { note: (process, what, fields) => note(timeline.now - WARM_UP_MILLISECONDS, process, what, fields) })
   })
-  timeline.runUntil(LEAD_MILLISECONDS)
+  timeline.runUntil(WARM_UP_MILLISECONDS)
   const messagesBefore = fleet.messages
-  callers.begin()
+  callers.start()
   schedule(plan, { fleet, timeline, random })
-  timeline.runUntil(LEAD_MILLISECONDS + plan.length)
+  timeline.runUntil(WARM_UP_MILLISECONDS + plan.length)
   const counts = { work: fleet.work, seconds: experiment.seconds, callerDelay: plan.delays.callers, crashes: fleet.crashes, startsAfterCrashes: fleet.startsAfterCrashes, starts: fleet.starts, fullStarts: fleet.fullStarts, messages: fleet.messages - messagesBefore, entryLoads: fleet.entryLoads, agentLoads: fleet.agentLoads, checks: fleet.targets.map(({ check }) => check) }
-  const longest = Math.max(...plan.jobs.map(({ deadline }) => deadline))
-  timeline.runUntil(LEAD_MILLISECONDS + plan.length + longest + 1)
-  return { figures: figuresOf(callers.verdicts, counts), verdicts: callers.verdicts }
+  const maxDeadline = Math.max(...plan.jobs.map(({ deadline }) => deadline))
+  timeline.runUntil(WARM_UP_MILLISECONDS + plan.length + maxDeadline + 1)
+  return { figures: figuresOf(callers.results, counts), results: callers.results }
 }
--- a/packages/emulator/src/dayplan.ts
+++ b/packages/emulator/src/dayplan.ts
@@ -1,24 +1,24 @@
-/** One day, drawn from an experiment by its seed: the same machines, jobs and troubles for every variant. */
+/** Draws the plan of a day from an experiment and a seed. All variants run with the same machines, jobs and troubles. */
 import type { Resources } from '@amaranthmast/dispatch/resources'
 import type { Queue } from '@amaranthmast/dispatch/queues'
 import type { Draw } from './distributions.ts'
 import type { Experiment, KindPlan, TroublePlan } from './experiment.ts'
 import { SeededRandom } from '@amaranthmast/standins/random'
 import { mean } from 'simple-statistics'
-import { drawFigure, factorDraw, pauseDraw, spreadDraw } from './distributions.ts'
+import { drawFigure, interarrivalDraw, logNormalDraw, logNormalFactorDraw } from './distributions.ts'
 import { TroubleKind } from './troubletypes.ts'
 
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Period of the wave of the load, in milliseconds. */
+/** Period of the load's sine wave, in milliseconds. */
 const WAVE_MILLISECONDS = 11_000
 
-/** How much the tasks of one job differ from each other: deviation of the logarithm. */
-const UNEVEN = 0.15
+/** Standard deviation of the logarithm of the work of tasks within one job. */
+const TASK_WORK_DEVIATION = 0.15
 
-/** Part of a job's worth that does not depend on its work (the users' rule of credit), and the most that it may be worth. */
+/** Fraction of a job's worth that does not depend on its work (the users' rule of credit), and the maximum worth. */
 const FIXED_WORTH = 0.3
-const MOST_WORTH = 4
+const MAX_WORTH = 4
 
 export interface TargetPlan {
   dataCentre: string
@@ -31,38 +31,38 @@
   id: string
   kind: string
   queue: Queue
-  /** Milliseconds from the start of the load. */
+  /** Milliseconds from the start of the load; from the start of the timeline once the callers have started. */
   at: number
   dataCentre: string
   deadline: number
   /** Work of each task on a target of speed 1, in milliseconds. */
   tasks: number[]
-  /** How many times as long each task takes, whatever its work. */
-  stretch: number[]
+  /** Factor on the run time of each task, for a heavy tail. */
+  tailFactors: number[]
   cpu: number
-  /** As the caller declares it. */
+  /** Work of a task as the caller declares it, in milliseconds. */
   declared: number
-  /** What its caller gets from an answer in time: 1 for the mean job of its kind. */
+  /** Credit for an answer in time; 1 for the mean job of its kind. */
   worth: number
-  /** Tasks that fail whenever they run. */
+  /** Whether its tasks fail on every run. */
   poisoned: boolean
-  /** The task that crashes each target that starts it, and after which part of its run. */
+  /** The task that crashes each target that starts it, and the fraction of its run after which it does. */
   crashing: { task: number, after: number } | undefined
-  /** Refused, its caller comes back when it is told to. */
+  /** Whether its caller resubmits a refused job after the time that the refusal states. */
   returns: boolean
-  /** Its caller leaves after this time, in milliseconds. */
+  /** Time after which its caller leaves, in milliseconds; Infinity if it waits until the deadline. */
   leavesAfter: number
 }
 
-export interface TroubleAt {
+export interface ScheduledTrouble {
   kind: TroubleKind
   /** Milliseconds from the start of the load. */
   at: number
-  lasts: number
+  duration: number
   share: number
   factor: number
   kindOfJob: string | undefined
-  /** Whose callers a burst comes from, counted from 0. */
+  /** Index of the data centre whose callers send a burst, from 0. */
   dataCentre: number | undefined
 }
 
@@ -70,21 +70,21 @@
   dataCentres: string[]
   entries: Array<{ dataCentre: string }>
   targets: TargetPlan[]
-  /** Whether targets refuse what does not fit. */
+  /** Whether targets refuse tasks over their capacity. */
   rejectsOverload: boolean
   delays: { within: number, between: number, callers: number }
-  /** Milliseconds of each event, or where cores are stated what each kind of event costs on them. */
+  /** Processor time of each event in milliseconds, or the cores on which each kind of event has its own cost. */
   processor: { entry: number, agent: number, entries: Array<number | undefined>, agents: Array<number | undefined> }
   startMilliseconds: number
   queues: Queue[]
   jobs: JobPlan[]
-  troubles: TroubleAt[]
-  /** Length of the load in milliseconds. */
+  troubles: ScheduledTrouble[]
+  /** Duration of the load, in milliseconds. */
   length: number
 }
 
-/** A kind of job with its figures drawn. */
-interface Kind {
+/** A kind of job with the figures drawn for the day. */
+interface DrawnKind {
   plan: KindPlan
   queue: Queue
   perMillisecond: number
@@ -130,28 +130,28 @@
   const cpu = drawFigure(fleet.cpu, random)
   const memory = drawFigure(fleet.memory, random)
   return Array.from({ length: fleet.targets }, (_none, index) => {
-    const place = Math.floor(index / dataCentres.length)
-    const kind = fleet.kinds[place % Math.max(1, fleet.kinds.length)]
+    const position = Math.floor(index / dataCentres.length)
+    const kind = fleet.kinds[position % Math.max(1, fleet.kinds.length)]
     const dataCentre = dataCentres[index % dataCentres.length] as string
     const size = (fleet.sizes[index % fleet.sizes.length] ?? 1) * (kind?.size ?? 1)
     return {
       dataCentre,
       capacity: { cpu: cpu * size, memory, accelerators: 0 },
-      labels: [...(kind === undefined ? [] : [kind.label]), ...(fleet.racks === 0 ? [] : [`${dataCentre}-rack${rackOf(place, fleet)}`])],
+      labels: [...(kind === undefined ? [] : [kind.label]), ...(fleet.racks === 0 ? [] : [`${dataCentre}-rack${rackOf(position, fleet)}`])],
       speed: random.pick(fleet.speeds) * (kind?.speed ?? 1)
     }
   })
 }
 
-/** Each rack holds targets of every kind. */
-function rackOf (place: number, { racks, kinds }: Experiment['fleet']): number {
-  return Math.floor(place / Math.max(1, kinds.length)) % racks
+/** Index of a target's rack. Each rack holds targets of every kind. */
+function rackOf (position: number, { racks, kinds }: Experiment['fleet']): number {
+  return Math.floor(position / Math.max(1, kinds.length)) % racks
 }
 
-function drawKind (plan: KindPlan, random: SeededRandom): Kind {
-  const tasks = spreadDraw(plan.tasks, random)
-  const work = spreadDraw(plan.milliseconds, random)
-  const cpu = spreadDraw(plan.cpu, random)
+function drawKind (plan: KindPlan, random: SeededRandom): DrawnKind {
+  const tasks = logNormalDraw(plan.tasks, random)
+  const work = logNormalDraw(plan.milliseconds, random)
+  const cpu = logNormalDraw(plan.cpu, random)
   const queue: Queue = {
     name: plan.name,
     host: 'host',
@@ -171,13 +171,13 @@
     tasks,
     work,
     cpu,
-    declaredFactor: factorDraw(drawFigure(plan.estimateError, random), random),
+    declaredFactor: logNormalFactorDraw(drawFigure(plan.estimateError, random), random),
     tail: { share: drawFigure(plan.tail.share, random), factor: drawFigure(plan.tail.factor, random) },
     meanWork: meanOf(() => Math.max(1, Math.round(tasks())) * work() * cpu())
   }
 }
 
-/** Draws enough to know a mean to a few hundredths. */
+/** Estimates a mean from enough draws to be accurate to a few hundredths. */
 function meanOf (draw: Draw): number {
   const draws = 2000
   let sum = 0
@@ -185,7 +185,7 @@
   return sum / draws
 }
 
-function scaleToLoad ({ load }: Experiment, kinds: Kind[], targets: readonly TargetPlan[], random: SeededRandom): void {
+function scaleToLoad ({ load }: Experiment, kinds: DrawnKind[], targets: readonly TargetPlan[], random: SeededRandom): void {
   if (load === undefined) return
   const capacity = targets.reduce((sum, target) => sum + target.capacity.cpu * target.speed, 0)
   const demand = kinds.reduce((sum, kind) => sum + kind.perMillisecond * kind.meanWork, 0)
@@ -193,11 +193,11 @@
   for (const kind of kinds) kind.perMillisecond *= factor
 }
 
-function drawTrouble (trouble: TroublePlan, random: SeededRandom): TroubleAt {
+function drawTrouble (trouble: TroublePlan, random: SeededRandom): ScheduledTrouble {
   return {
     kind: trouble.kind,
     at: drawFigure(trouble.at, random) * MILLISECONDS_PER_SECOND,
-    lasts: drawFigure(trouble.for, random) * MILLISECONDS_PER_SECOND,
+    duration: drawFigure(trouble.for, random) * MILLISECONDS_PER_SECOND,
     share: drawFigure(trouble.share, random),
     factor: drawFigure(trouble.factor, random),
     kindOfJob: trouble.kindOfJob,
@@ -205,63 +205,63 @@
   }
 }
 
-function drawJobs ({ seconds, wave, returning, peaks }: Experiment, kinds: readonly Kind[], dataCentres: readonly string[], troubles: readonly TroubleAt[], random: SeededRandom): JobPlan[] {
-  const swing = drawFigure(wave, random)
+function drawJobs ({ seconds, wave, returning, peaks }: Experiment, kinds: readonly DrawnKind[], dataCentres: readonly string[], troubles: readonly ScheduledTrouble[], random: SeededRandom): JobPlan[] {
+  const amplitude = drawFigure(wave, random)
   const phase = random.next() * WAVE_MILLISECONDS
-  const share = drawFigure(returning, random)
+  const returningShare = drawFigure(returning, random)
   const peak = drawFigure(peaks, random)
   const jobs: JobPlan[] = []
   for (const kind of kinds) {
     let now = 0
-    const rate = (): number => kind.perMillisecond * (1 + swing * Math.sin((now + phase) / WAVE_MILLISECONDS * 2 * Math.PI)) * mean(dataCentres.map((_name, index) => burstAt(troubles, kind, now, index)))
-    const pause = pauseDraw(rate, random)
-    for (now = pause(); now < seconds * MILLISECONDS_PER_SECOND; now += pause()) {
+    const rate = (): number => kind.perMillisecond * (1 + amplitude * Math.sin((now + phase) / WAVE_MILLISECONDS * 2 * Math.PI)) * mean(dataCentres.map((_name, index) => burstAt(troubles, kind, now, index)))
+    const nextInterval = interarrivalDraw(rate, random)
+    for (now = nextInterval(); now < seconds * MILLISECONDS_PER_SECOND; now += nextInterval()) {
       const weights = dataCentres.map((_name, index) => burstAt(troubles, kind, now, index) * peakAt(peak, now, index / dataCentres.length))
-      jobs.push({ ...drawJob(kind, now, pickDataCentre(dataCentres, weights, random), jobs.length, troubles, random), returns: share > 0 && random.next() < share })
+      jobs.push({ ...drawJob(kind, now, pickDataCentre(dataCentres, weights, random), jobs.length, troubles, random), returns: returningShare > 0 && random.next() < returningShare })
     }
   }
   return jobs.sort((one, other) => one.at - other.at)
 }
 
 /**
- * Part of its mean load that a data centre has: one after the other has its peak, once in a wave.
+ * Load of a data centre relative to its mean. The peaks of the data centres follow each other, one each per wave period.
  *
  * @param position of the data centre among all, from 0 to 1
  */
-function peakAt (swing: number, at: number, position: number): number {
-  return 1 + swing * Math.sin((at / WAVE_MILLISECONDS + position) * 2 * Math.PI)
+function peakAt (amplitude: number, at: number, position: number): number {
+  return 1 + amplitude * Math.sin((at / WAVE_MILLISECONDS + position) * 2 * Math.PI)
 }
 
-function activeAt (troubles: readonly TroubleAt[], wanted: TroubleKind, kind: Kind, at: number): TroubleAt[] {
-  return troubles.filter(trouble => trouble.kind === wanted && at >= trouble.at && at < trouble.at + trouble.lasts &&
+function activeAt (troubles: readonly ScheduledTrouble[], wanted: TroubleKind, kind: DrawnKind, at: number): ScheduledTrouble[] {
+  return troubles.filter(trouble => trouble.kind === wanted && at >= trouble.at && at < trouble.at + trouble.duration &&
     (trouble.kindOfJob === undefined || trouble.kindOfJob === kind.plan.name))
 }
 
-function burstAt (troubles: readonly TroubleAt[], kind: Kind, at: number, dataCentre: number): number {
+function burstAt (troubles: readonly ScheduledTrouble[], kind: DrawnKind, at: number, dataCentre: number): number {
   const bursts = activeAt(troubles, TroubleKind.Burst, kind, at).filter(trouble => trouble.dataCentre === undefined || trouble.dataCentre === dataCentre)
   return bursts.reduce((factor, trouble) => factor * trouble.factor, 1)
 }
 
-/** One of the data centres, each as likely as its weight. */
+/** Draws a data centre, with a probability in proportion to its weight. */
 function pickDataCentre (dataCentres: readonly string[], weights: readonly number[], random: SeededRandom): string {
-  let left = random.next() * mean(weights) * weights.length
+  let remaining = random.next() * mean(weights) * weights.length
   for (const [index, weight] of weights.entries()) {
-    left -= weight
-    if (left < 0) return dataCentres[index] as string
+    remaining -= weight
+    if (remaining < 0) return dataCentres[index] as string
   }
   return dataCentres[dataCentres.length - 1] as string
 }
 
-function drawJob (kind: Kind, at: number, dataCentre: string, number: number, troubles: readonly TroubleAt[], random: SeededRandom): JobPlan {
+function drawJob (kind: DrawnKind, at: number, dataCentre: string, number: number, troubles: readonly ScheduledTrouble[], random: SeededRandom): JobPlan {
   const count = Math.max(1, Math.round(kind.tasks()))
   const work = kind.work()
   const cpu = Math.round(kind.cpu())
-  const uneven = factorDraw(UNEVEN, random)
+  const taskFactor = logNormalFactorDraw(TASK_WORK_DEVIATION, random)
   const { slackFactor, latency } = kind.queue
   const leaving = activeAt(troubles, TroubleKind.GiveUp, kind, at).find(({ share }) => random.next() < share)
   const poisoned = activeAt(troubles, TroubleKind.Poison, kind, at).some(({ share }) => random.next() < share)
   const crashing = activeAt(troubles, TroubleKind.Crashing, kind, at).find(({ share }) => random.next() < share)
-  const works = Array.from({ length: count }, () => work * uneven())
+  const taskWork = Array.from({ length: count }, () => work * taskFactor())
   const declared = work * kind.declaredFactor()
   return {
     id: `job${number}`,
@@ -270,11 +270,11 @@
     at,
     dataCentre,
     deadline: kind.deadline,
-    tasks: works,
-    stretch: works.map(() => kind.tail.share > 0 && random.next() < kind.tail.share ? kind.tail.factor : 1),
+    tasks: taskWork,
+    tailFactors: taskWork.map(() => kind.tail.share > 0 && random.next() < kind.tail.share ? kind.tail.factor : 1),
     cpu,
     declared,
-    worth: Math.min(MOST_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * count * work * cpu / kind.meanWork),
+    worth: Math.min(MAX_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * count * work * cpu / kind.meanWork),
     poisoned,
     crashing: crashing === undefined ? undefined : { task: random.integer(0, count - 1), after: crashing.factor },
     returns: false,
--- a/packages/emulator/src/distributions.ts
+++ b/packages/emulator/src/distributions.ts
@@ -24,7 +24,7 @@
 export type Draw = () => number
 
 /** Log-normal by mean and relative deviation, never above the most. */
-export function spreadDraw ({ mean, spread, most }: Spread, random: SeededRandom): Draw {
+export function logNormalDraw ({ mean, spread, most }: Spread, random: SeededRandom): Draw {
   const drawnMean = drawFigure(mean, random)
   const drawnSpread = drawFigure(spread, random)
   const limit = drawFigure(most, random)
@@ -35,13 +35,13 @@
 }
 
 /** A factor around 1 whose logarithm is normal. */
-export function factorDraw (deviation: number, random: SeededRandom): Draw {
+export function logNormalFactorDraw (deviation: number, random: SeededRandom): Draw {
   const draw = randomNormal.source(() => random.next())(0, deviation)
   return () => Math.exp(draw())
 }
 
 /** Times between arrivals of a Poisson process. */
-export function pauseDraw (perMillisecond: () => number, random: SeededRandom): Draw {
+export function interarrivalDraw (perMillisecond: () => number, random: SeededRandom): Draw {
   const exponential = randomExponential.source(() => random.next())(1)
   return () => exponential() / perMillisecond()
 }
--- a/packages/emulator/src/figures.ts
+++ b/packages/emulator/src/figures.ts
@@ -1,7 +1,7 @@
 /** The figures of one emulated day. */
-import type { Verdict } from './callers.ts'
+import type { JobResult } from './callers.ts'
 import type { CapacityCheck } from './capacitycheck.ts'
-import { Fate } from './callers.ts'
+import { Outcome } from './callers.ts'
 
 /** Width of the windows of time that are judged by themselves, in milliseconds. */
 const WINDOW_MILLISECONDS = 2000
@@ -45,7 +45,7 @@
   crashes: number
   startsAfterCrashes: number
   failedSound: number
-  /** Starts that took a target over its capacity, tasks begun at leaving targets, and those of them that were cut off. */
+  /** Starts that elapsed a target over its capacity, tasks begun at leaving targets, and those of them that were cut off. */
   startsOver: number
   begunLeaving: number
   cutOff: number
@@ -74,35 +74,35 @@
   checks: ReadonlyArray<Pick<CapacityCheck, 'startsOver' | 'begunLeaving' | 'cutOff'>>
 }
 
-export function figuresOf (all: readonly Verdict[], { work, seconds, callerDelay, starts, fullStarts, messages, entryLoads, agentLoads, crashes, startsAfterCrashes, checks }: Counts): DayFigures {
-  const owed = all.filter(({ fate }) => fate !== Fate.Left)
+export function figuresOf (all: readonly JobResult[], { work, seconds, callerDelay, starts, fullStarts, messages, entryLoads, agentLoads, crashes, startsAfterCrashes, checks }: Counts): DayFigures {
+  const owed = all.filter(({ outcome }) => outcome !== Outcome.Left)
   const kinds = groupBy(owed, ({ job }) => job.kind)
   const windows = groupBy(owed, ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
   const byWindow = [...windows.values()].map(creditOf).sort((one, other) => one - other)
   const tasks = owed.reduce((sum, { job }) => sum + job.tasks.length, 0)
-  const count = (...fates: Fate[]): number => owed.filter(({ fate }) => fates.includes(fate)).length
-  const inTime = owed.filter(({ fate }) => fate === Fate.InTime)
-  const refusals = owed.filter(({ fate }) => fate === Fate.Refused)
+  const count = (...outcomes: Outcome[]): number => owed.filter(({ outcome }) => outcomes.includes(outcome)).length
+  const inTime = owed.filter(({ outcome }) => outcome === Outcome.InTime)
+  const refusals = owed.filter(({ outcome }) => outcome === Outcome.Refused)
   const workInTime = sum(inTime.map(({ job }) => work.get(job.id) ?? 0))
   return {
     credit: creditOf(owed),
     worstKind: Math.min(...[...kinds.values()].map(creditOf)),
     worstWindows: mean(byWindow.slice(0, WORST_WINDOWS)),
-    largestTenth: Math.min(...[...kinds.values()].map(verdicts => creditOf(largest(verdicts)))),
+    largestTenth: Math.min(...[...kinds.values()].map(results => creditOf(largest(results)))),
     jobs: owed.length,
-    inTime: count(Fate.InTime),
-    late: count(Fate.Late),
-    refused: count(Fate.Refused),
-    failed: count(Fate.Failed, Fate.TooLate),
-    inTimePart: count(Fate.InTime) / Math.max(1, owed.length),
+    inTime: count(Outcome.InTime),
+    late: count(Outcome.Late),
+    refused: count(Outcome.Refused),
+    failed: count(Outcome.Failed, Outcome.TooLate),
+    inTimePart: count(Outcome.InTime) / Math.max(1, owed.length),
     crashes,
     startsAfterCrashes,
-    failedSound: owed.filter(({ fate, job }) => fate === Fate.Failed && !job.poisoned).length,
+    failedSound: owed.filter(({ outcome, job }) => outcome === Outcome.Failed && !job.poisoned).length,
     coresInTime: workInTime / THOUSANDTHS / (seconds * MILLISECONDS_PER_SECOND),
     usefulPart: workInTime / Math.max(1, sum([...work.values()])),
-    soonRefusals: refusals.filter(({ answeredAfter }) => answeredAfter - 2 * callerDelay <= SOON_MILLISECONDS).length / Math.max(1, refusals.length),
+    soonRefusals: refusals.filter(({ responseTime }) => responseTime - 2 * callerDelay <= SOON_MILLISECONDS).length / Math.max(1, refusals.length),
     worstKindPart: Math.min(...[...kinds.values()].map(inTimePartOf)) / Math.max(Number.EPSILON, inTimePartOf(owed)),
-    largestTenthPart: Math.min(...[...kinds.values()].map(verdicts => inTimePartOf(largest(verdicts)) / Math.max(Number.EPSILON, inTimePartOf(verdicts)))),
+    largestTenthPart: Math.min(...[...kinds.values()].map(results => inTimePartOf(largest(results)) / Math.max(Number.EPSILON, inTimePartOf(results)))),
     startsFullPart: fullStarts / Math.max(1, starts),
     startsOver: sum(checks.map(({ startsOver }) => startsOver)),
     begunLeaving: sum(checks.map(({ begunLeaving }) => begunLeaving)),
@@ -115,35 +115,35 @@
 }
 
 /** Credit of each second of a day, for plots. */
-export function creditOverTime (all: readonly Verdict[]): Array<{ second: number, credit: number }> {
-  const windows = groupBy(all.filter(({ fate }) => fate !== Fate.Left), ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
-  return [...windows].map(([window, verdicts]) => ({ second: Number(window) * WINDOW_MILLISECONDS / 1000, credit: creditOf(verdicts) }))
+export function creditOverTime (all: readonly JobResult[]): Array<{ second: number, credit: number }> {
+  const windows = groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
+  return [...windows].map(([window, results]) => ({ second: Number(window) * WINDOW_MILLISECONDS / 1000, credit: creditOf(results) }))
     .sort((one, other) => one.second - other.second)
 }
 
 /** Credit of each kind of job. */
-export function creditByKind (all: readonly Verdict[]): Record<string, number> {
-  return Object.fromEntries([...groupBy(all.filter(({ fate }) => fate !== Fate.Left), ({ job }) => job.kind)].map(([kind, verdicts]) => [kind, creditOf(verdicts)]))
+export function creditByKind (all: readonly JobResult[]): Record<string, number> {
+  return Object.fromEntries([...groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => job.kind)].map(([kind, results]) => [kind, creditOf(results)]))
 }
 
 /** Part of the callers of each kind of job that were in time. */
-export function inTimeByKind (all: readonly Verdict[]): Record<string, number> {
-  return Object.fromEntries([...groupBy(all.filter(({ fate }) => fate !== Fate.Left), ({ job }) => job.kind)].map(([kind, verdicts]) => [kind, inTimePartOf(verdicts)]))
+export function inTimeByKind (all: readonly JobResult[]): Record<string, number> {
+  return Object.fromEntries([...groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => job.kind)].map(([kind, results]) => [kind, inTimePartOf(results)]))
 }
 
-function inTimePartOf (verdicts: readonly Verdict[]): number {
-  return verdicts.filter(({ fate }) => fate === Fate.InTime).length / Math.max(1, verdicts.length)
+function inTimePartOf (results: readonly JobResult[]): number {
+  return results.filter(({ outcome }) => outcome === Outcome.InTime).length / Math.max(1, results.length)
 }
 
 /** Each kind of job weighs the same in the whole, as on the users' sheets. */
-function creditOf (verdicts: readonly Verdict[]): number {
-  const kinds = [...groupBy(verdicts, ({ job }) => job.kind).values()]
+function creditOf (results: readonly JobResult[]): number {
+  const kinds = [...groupBy(results, ({ job }) => job.kind).values()]
   const parts = kinds.map(kind => ({ got: sum(kind.map(({ credit }) => credit)), owed: sum(kind.map(({ job }) => job.worth)) }))
   return mean(parts.map(({ got, owed }) => got / owed))
 }
 
-function largest (verdicts: readonly Verdict[]): Verdict[] {
-  return [...verdicts].sort((one, other) => other.job.worth - one.job.worth).slice(0, Math.ceil(verdicts.length * LARGEST_PART))
+function largest (results: readonly JobResult[]): JobResult[] {
+  return [...results].sort((one, other) => other.job.worth - one.job.worth).slice(0, Math.ceil(results.length * LARGEST_PART))
 }
 
 function groupBy<Item> (items: readonly Item[], keyOf: (item: Item) => string): Map<string, Item[]> {
--- a/packages/emulator/src/fleet.ts
+++ b/packages/emulator/src/fleet.ts
@@ -124,7 +124,7 @@
     if (!entry.alive) return
     entry.kill()
     this.#events.entryEnded(index, powerLost)
-    this.#peers.entryEnded(index, powerLost)
+    this.#peers.ended(index, powerLost)
     for (const agent of this.agents.keys()) this.#disconnect(pairOf(index, agent), powerLost, 'closeByEntry')
     this.#timeline.after(milliseconds + this.#plan.startMilliseconds, () => this.#startEntry(index))
   }
@@ -215,7 +215,7 @@
     const job = this.#jobOf(task)
     const index = Number(task.slice(task.lastIndexOf('.') + 1))
     const failureRate = this.#failureRates.get(target) ?? 0
-    const duration = (job.tasks[index] ?? 0) * (job.stretch[index] ?? 1) / speed
+    const duration = (job.tasks[index] ?? 0) * (job.tailFactors[index] ?? 1) / speed
     if (job.crashing?.task === index) this.#scheduleCrash(target, task, duration * job.crashing.after)
     return { duration, fails: job.poisoned || (failureRate > 0 && this.#random.next() < failureRate) }
   }
@@ -296,7 +296,7 @@
     for (const [index, entry] of this.entries.entries()) {
       for (const [other, agent] of this.agents.entries()) {
         const pair = pairOf(index, other)
-        if (entry.alive && agent.alive && !entry.frozen && !agent.frozen && !this.#connections.isCut(pair) && !this.#connections.has(pair)) this.#dial(index, other)
+        if (entry.alive && agent.alive && !entry.frozen && !agent.frozen && !this.#connections.isCut(pair) && !this.#connections.get(pair)) this.#dial(index, other)
       }
     }
     this.#timeline.after(DIAL_INTERVAL, () => this.#dialAll())
--- a/packages/emulator/src/linkends.ts
+++ b/packages/emulator/src/linkends.ts
@@ -1,4 +1,4 @@
-/** Both ends of a link between an entry and an agent, as the daemons' dialer and listener present it to the cores. */
+/** Both ends of a link between an entry and an agent. They post the events that the daemons' dialer and listener pass to the cores. */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 import type { AgentMessage, EntryMessage } from '@amaranthmast/dispatch/messages'
@@ -8,7 +8,7 @@
 export type EntryProcess = Process<EntryEvent, EntryEffect>
 export type AgentProcess = Process<AgentEvent, AgentEffect>
 
-/** Ends for the present runs of both processes. Their names carry a number: `entry3`, `agent0`. */
+/** Ends for the current incarnations of both processes, whose names contain an index: `entry3`, `agent0`. */
 export function linkEnds (entry: EntryProcess, agent: AgentProcess): { entryEnd: LinkEnd, agentEnd: LinkEnd } {
   const entryIncarnation = `${entry.name}#${entry.incarnation}`
   const { name, incarnation } = agent
@@ -26,12 +26,12 @@
   }
 }
 
-/** The link between an entry and an agent, by their numbers. */
+/** Key of the link between an entry and an agent, by their indexes. */
 export function pairOf (entry: number, agent: number): string {
   return `${entry}-${agent}`
 }
 
-/** Number in `entry3#1` or `agent3`. */
+/** Index of a process: 3 for `entry3#1` or `agent3`. */
 export function numberOf (name: string): number {
   return Number(/\d+/.exec(name)?.[0])
 }
--- a/packages/emulator/src/peerlinks.ts
+++ b/packages/emulator/src/peerlinks.ts
@@ -1,10 +1,10 @@
-/** Links between the emulated entries: ordered, delayed, and broken by the end of a process. */
+/** Links between emulated entries. Messages stay in order, take time, and are lost when a process ends. */
 import type { PeerMessage } from '@amaranthmast/dispatch/roommessages'
 import type { EntryProcess } from './linkends.ts'
 import type { Timeline } from './timeline.ts'
 
 interface PeerLink {
-  /** Runs of both processes. */
+  /** Incarnations of both processes. */
   from: number
   to: number
   /** Earliest arrival of the next message. */
@@ -16,17 +16,17 @@
   readonly #entries: readonly EntryProcess[]
   readonly #travelTime: (from: number, to: number) => number
   readonly #links = new Map<string, PeerLink>()
-  /** Until when an entry is cut off. */
+  /** When the cut of an entry ends, on the timeline. */
   readonly #cuts = new Map<number, number>()
 
-  /** @param travelTime how long the next message travels, in milliseconds */
+  /** @param travelTime returns the travel time of the next message, in milliseconds */
   constructor (timeline: Timeline, entries: readonly EntryProcess[], travelTime: (from: number, to: number) => number) {
     this.#timeline = timeline
     this.#entries = entries
     this.#travelTime = travelTime
   }
 
-  /** Opens what is missing. */
+  /** Opens missing links between entries that are running and not cut off, and replaces those of ended incarnations. */
   dial (): void {
     for (const [from, entry] of this.#entries.entries()) {
       for (const [to, other] of this.#entries.entries()) {
@@ -45,8 +45,8 @@
     this.#cuts.set(entry, this.#timeline.now + milliseconds)
   }
 
-  /** The process has ended: the others hear of it when the news arrives, or not at all when its machine has no power. */
-  entryEnded (index: number, powerLost: boolean): void {
+  /** Closes the links to an entry that has ended, after the travel time. If its machine lost power, the other entries are not notified. */
+  ended (index: number, powerLost: boolean): void {
     if (powerLost) return
     const { name } = this.#entries[index] as EntryProcess
     for (const [from, entry] of this.#entries.entries()) {
--- a/packages/emulator/src/processorcosts.ts
+++ b/packages/emulator/src/processorcosts.ts
@@ -1,21 +1,21 @@
 /**
- * Processor time of events and effects, in milliseconds of a whole core. Worked out from played days: an entry of a fleet
- * with 17 targets used 35 ms a second for 19 jobs, 67 tasks and 170 idle messages, its agents 19 ms for 20 tasks each.
+ * Processor time of events and effects, in milliseconds of a whole core. The figures are derived from runs in which, in a fleet
+ * with 17 targets, an entry used 35 ms per second for 19 jobs, 67 tasks and 170 idle messages, and an agent 19 ms for 20 tasks.
  */
 import type { AgentEffect, AgentEvent } from '@amaranthmast/dispatch/agenttypes'
 import type { EntryEffect, EntryEvent } from '@amaranthmast/dispatch/entrytypes'
 
-/** A call over HTTP that is served or made. */
+/** An HTTP request that is served, and an HTTP call that is made. */
 const HTTP_REQUEST = 0.45
 const HTTP_CALL = 0.25
 
-/** A message that is read, or written. */
+/** A message that is received or sent. */
 const RECEIVED_MESSAGE = 0.06
 const SENT_MESSAGE = 0.03
 
 const TICK = 0.05
 
-/** Choosing a target for a task, and the start of one at an agent. */
+/** The choice of a target for a task at an entry, and the start of a task at an agent. */
 const START_AT_ENTRY = 0.04
 const START_AT_AGENT = 0.1
 
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -1,6 +1,6 @@
 /** Tables and plots of an experiment. */
 import type { Plot } from '@amaranthmast/bench/plots'
-import type { Played, VariantSummary } from './comparison.ts'
+import type { PlayedDay, VariantSummary } from './comparison.ts'
 import { drawPlot, pageOf } from '@amaranthmast/bench/reportpage'
 import { mean } from 'simple-statistics'
 
@@ -38,7 +38,7 @@
 type PlotRow = Record<string, string | number>
 
 /** The page as HTML that needs nothing else. */
-export async function pageFor (name: string, summaries: readonly VariantSummary[], played: readonly Played[]): Promise<string> {
+export async function pageFor (name: string, summaries: readonly VariantSummary[], played: readonly PlayedDay[]): Promise<string> {
   const rows = rowsOf(summaries, played)
   const drawn: string[] = []
   for (const plot of PLOTS) {
@@ -48,7 +48,7 @@
   return pageOf(`Experiment ${name}`, drawn)
 }
 
-function rowsOf (summaries: readonly VariantSummary[], played: readonly Played[]): Record<string, PlotRow[]> {
+function rowsOf (summaries: readonly VariantSummary[], played: readonly PlayedDay[]): Record<string, PlotRow[]> {
   const means = summaries.map(summary => ({ variant: summary.variant, ...Object.fromEntries(COLUMNS.map(column => [column, summary[column].mean])) }))
   return {
     figures: means,
--- a/packages/emulator/src/timeline.ts
+++ b/packages/emulator/src/timeline.ts
@@ -1,8 +1,9 @@
-/** Virtual time: actions in the order of their times. */
+/** Virtual time. Actions run in the order of their times; actions of the same time run in the order in which they were scheduled. */
 import { IndexedHeap } from '@amaranthmast/coordination/heap'
 
 type Action = () => void
 
+/** A virtual clock with scheduled actions. Times in milliseconds. */
 export class Timeline {
   readonly #actions = new IndexedHeap<{ run: Action }>()
   #now = 0
@@ -17,7 +18,7 @@
     this.#actions.set({ run }, this.#now + milliseconds, this.#count)
   }
 
-  /** Runs everything that is due until then. */
+  /** Runs all actions that are due by `end`, and sets the clock to it. */
   runUntil (end: number): void {
     while ((this.#actions.peekKey() ?? Infinity) <= end) {
       this.#now = this.#actions.peekKey() as number
--- a/packages/emulator/test/admission.test.ts
+++ b/packages/emulator/test/admission.test.ts
@@ -30,8 +30,8 @@
 // Guards against shares that belong to one data centre: callers of a busy one must not be refused while others are served.
 test('a burst from one data centre is met by the capacity of all', () => {
   const experiment = shortExperiment({ load: 0.5, seconds: 6, sizes: [1], speeds: [1], troubles: [trouble(TroubleKind.Burst, { factor: 2, dataCentre: 1 })] })
-  const { verdicts } = playDay(experiment, 1, FLEET)
-  expect(verdicts.filter(({ fate }) => fate === 'refused').length / verdicts.length < 0.02).toEqual(true)
+  const { results } = playDay(experiment, 1, FLEET)
+  expect(results.filter(({ outcome }) => outcome === 'refused').length / results.length < 0.02).toEqual(true)
 })
 
 // Guards against an entry that is cut off in an overload: it must go on by what it sees itself, and the others too.
--- a/packages/emulator/test/comparison.test.ts
+++ b/packages/emulator/test/comparison.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl'
 import { SeededRandom } from '@amaranthmast/standins/random'
 import { compare } from '../src/comparison.ts'
-import { spreadDraw } from '../src/distributions.ts'
+import { logNormalDraw } from '../src/distributions.ts'
 import { play, playAll } from '../src/player.ts'
 import { pageFor, tableOf } from '../src/report.ts'
 import { shortExperiment } from './experiments.ts'
@@ -26,7 +26,7 @@
 })
 
 test('a drawn distribution has its mean and its most', () => {
-  const draw = spreadDraw({ mean: 100, spread: 0.4, most: 250 }, new SeededRandom(1))
+  const draw = logNormalDraw({ mean: 100, spread: 0.4, most: 250 }, new SeededRandom(1))
   const draws = Array.from({ length: 5000 }, draw)
   const mean = draws.reduce((sum, value) => sum + value, 0) / draws.length
   expect([Math.abs(mean - 100) < 3, Math.max(...draws) <= 250]).toEqual([true, true])
--- a/packages/emulator/test/day.test.ts
+++ b/packages/emulator/test/day.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'node:test'
 import { expect } from 'earl'
-import { Fate } from '../src/callers.ts'
+import { Outcome } from '../src/callers.ts'
 import { playDay } from '../src/day.ts'
 import { drawDay } from '../src/dayplan.ts'
 import { creditByKind } from '../src/figures.ts'
@@ -46,10 +46,10 @@
 for (const [share, least] of [[0.07, 0.92], [0.15, 0.8]] as const) {
   test(`with ${share} of the orders lost and room to spare every kind of job is served in time`, () => {
     const experiment = shortExperiment({ load: 0.5, troubles: [trouble(TroubleKind.LateOrders, { at: 0, for: 10, share })] })
-    const verdicts = [1, 2, 3].flatMap(seed => playDay(experiment, seed, {}).verdicts)
+    const results = [1, 2, 3].flatMap(seed => playDay(experiment, seed, {}).results)
     for (const kind of ['check', 'quote', 'lookup']) {
-      const asked = verdicts.filter(({ job }) => job.kind === kind)
-      const inTime = asked.filter(({ fate }) => fate === Fate.InTime)
+      const asked = results.filter(({ job }) => job.kind === kind)
+      const inTime = asked.filter(({ outcome }) => outcome === Outcome.InTime)
       expect(inTime.length / asked.length >= least).toEqual(true)
     }
   })
@@ -77,8 +77,8 @@
 
 for (const [kind, least] of SURVIVED) {
   test(`a day with ${kind} is served for the most part`, () => {
-    const { verdicts } = playDay(shortExperiment({ load: 0.5, seconds: 6, troubles: [trouble(kind, { for: 2 })] }), 6, {})
-    expect(Math.min(...Object.values(creditByKind(verdicts))) >= least).toEqual(true)
+    const { results } = playDay(shortExperiment({ load: 0.5, seconds: 6, troubles: [trouble(kind, { for: 2 })] }), 6, {})
+    expect(Math.min(...Object.values(creditByKind(results))) >= least).toEqual(true)
   })
 }
 
@@ -89,8 +89,8 @@
   test(`days with ${kind} are served for the most part, in the mean`, () => {
     let sum = 0
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const { verdicts } = playDay(shortExperiment({ load: 0.5, seconds: 6, troubles: [trouble(kind, { for: 2 })] }), seed, {})
-      sum += Math.min(...Object.values(creditByKind(verdicts)))
+      const { results } = playDay(shortExperiment({ load: 0.5, seconds: 6, troubles: [trouble(kind, { for: 2 })] }), seed, {})
+      sum += Math.min(...Object.values(creditByKind(results)))
     }
     expect(sum / SEEDS >= least).toEqual(true)
   })
--- a/packages/emulator/test/placement.test.ts
+++ b/packages/emulator/test/placement.test.ts
@@ -16,11 +16,11 @@
 }
 
 function worstKind (experiment: Experiment, policy: Parameters<typeof playDay>[2]): number {
-  const worst = SEEDS.map(seed => Math.min(...Object.values(creditByKind(playDay(experiment, seed, policy).verdicts))))
+  const worst = SEEDS.map(seed => Math.min(...Object.values(creditByKind(playDay(experiment, seed, policy).results))))
   return worst.reduce((sum, credit) => sum + credit, 0) / SEEDS.length
 }
 
-// Short tasks took the fast targets, and long ones were left with those on which they must be late.
+// Short tasks elapsed the fast targets, and long ones were left with those on which they must be late.
 test('on uneven targets placing by slack serves the worst kind better', () => {
   const uneven = fleetOf({ speeds: [0.55, 1.2, 1.2, 1.2] }, 0.75)
   const today = worstKind(uneven, { sharesRoom: false })
@@ -50,7 +50,7 @@
 test('a tail stretches its part of the tasks', () => {
   const plain = shortExperiment()
   const tailed = { ...plain, kinds: plain.kinds.map(kind => ({ ...kind, tail: { share: 0.03, factor: 7 } })) }
-  const stretched = drawDay(tailed, 1).jobs.flatMap(({ stretch }) => stretch)
+  const stretched = drawDay(tailed, 1).jobs.flatMap(({ tailFactors }) => tailFactors)
   const part = stretched.filter(factor => factor === 7).length / stretched.length
   expect([part > 0.02 && part < 0.04, stretched.every(factor => factor === 1 || factor === 7)]).toEqual([true, true])
 })
