--- a/packages/emulator/src/capacitycheck.ts
+++ b/packages/emulator/src/capacitycheck.ts
@@ -1,18 +1,18 @@
-/** What a target sees of those that start tasks there: starts over its capacity, and tasks begun while it leaves. */
+/** Checks the starts at a target: counts starts over its capacity and tasks that start while it is leaving. */
 
 export class CapacityCheck {
   readonly #grace: number
-  /** Capacities in thousandths of a core, and until when each was in force. */
+  /** Earlier capacities in thousandths of a core, and when each of them ended. */
   #previous: Array<{ cpu: number, until: number }> = []
   #cpu: number
   #leavingSince = Infinity
-  /** Starts that took it over what it had within that time. */
+  /** Starts that exceeded every capacity the target had within the grace period. */
   startsOver = 0
-  /** Tasks that began there after it had announced its end, and those of them that its end cut off. */
+  /** Tasks that started after the target had announced its end, and those of them that were still running when it ended. */
   begunLeaving = 0
   cutOff = 0
 
-  /** @param grace time in milliseconds for which room that has shrunk still counts */
+  /** @param grace how long a capacity still counts after it has shrunk, in milliseconds */
   constructor (cpu: number, grace: number) {
     this.#cpu = cpu
     this.#grace = grace
@@ -28,14 +28,14 @@
     this.#leavingSince = now
   }
 
-  /** @param usedCpu of all that runs there with the task that has begun */
+  /** @param usedCpu thousandths of a core that all running tasks use, including the started one */
   recordStart (usedCpu: number, now: number): void {
     if (now >= this.#leavingSince) this.begunLeaving += 1
     const recentCapacities = this.#previous.filter(({ until }) => now - until < this.#grace).map(({ cpu }) => cpu)
     if (usedCpu > Math.max(this.#cpu, ...recentCapacities)) this.startsOver += 1
   }
 
-  /** @param startedAt when each of the tasks began that are cut off */
+  /** @param startedAt start times of the tasks that are still running */
   recordEnd (startedAt: readonly number[]): void {
     this.cutOff += startedAt.filter(at => at >= this.#leavingSince).length
     this.#leavingSince = Infinity
--- a/packages/emulator/src/comparison.ts
+++ b/packages/emulator/src/comparison.ts
@@ -1,16 +1,16 @@
-/** Variants of the policy compared on the same days. */
+/** Compares policy variants on the same days. */
 import type { DayFigures } from './figures.ts'
 import { mean, sampleStandardDeviation } from 'simple-statistics'
 
-/** One day under one variant. */
+/** Result of one day under one variant. */
 export interface PlayedDay {
   variant: string
   seed: number
   figures: DayFigures
-  /** Credit of each window, for plots. */
+  /** Credit of each time window, for plots. */
   overTime: Array<{ second: number, credit: number }>
   byKind: Record<string, number>
-  /** Part of the callers of each kind that were in time. */
+  /** Fraction of the callers of each kind of job that were answered in time. */
   inTimeByKind: Record<string, number>
 }
 
@@ -18,14 +18,14 @@
   mean: number
   /** Standard deviation over the days. */
   spread: number
-  /** Mean difference to the first variant on the same days, and the standard error of that mean. */
+  /** Mean difference from the first variant on the same days, and the standard error of that mean. */
   difference: number
   error: number
 }
 
 export type VariantSummary = { variant: string, days: number } & Record<keyof DayFigures, FigureSummary>
 
-/** Figures of every variant; the first one is what the others are compared with. */
+/** Summarizes the figures of every variant and compares them with the first one. */
 export function compare (played: readonly PlayedDay[], variants: readonly string[]): VariantSummary[] {
   const bySeed = (variant: string): PlayedDay[] => played.filter(day => day.variant === variant).sort((one, other) => one.seed - other.seed)
   const first = bySeed(variants[0] ?? '')
--- a/packages/emulator/src/experiment.ts
+++ b/packages/emulator/src/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * The file of an experiment: fleet, kinds of job, load, troubles, seeds and variants of the policy.
- * Wherever a number stands, a pair may stand instead: each seed draws its own figure between them.
+ * Schema of experiment files: fleet, kinds of job, load, troubles, seeds and policy variants.
+ * A figure is a number or a range `[low, high]`, from which each seed draws a number.
  */
 import type { Policy } from '@amaranthmast/dispatch/policy'
 import type { DocumentRefused } from '@amaranthmast/settings/errors'
@@ -97,12 +97,12 @@
 export type KindPlan = Experiment['kinds'][number]
 export type TroublePlan = Experiment['troubles'][number]
 
-/** Reads the text of an experiment file; every fault names its place and what would be right. */
+/** Parses and validates the text of an experiment file. Each error states the path of the field and what is expected there. */
 export function readExperiment (text: string): Result<Experiment, DocumentRefused> {
   return parseJson(text).andThen(value => validate(experimentSchema, value))
 }
 
-/** The published JSON Schema of the file. */
+/** Text of the JSON Schema for experiment files, as published in `schema/experiment.json`. */
 export function experimentSchemaText (): string {
   return `${JSON.stringify(z.toJSONSchema(experimentSchema, { io: 'input' }), undefined, 2)}\n`
 }
--- a/packages/emulator/src/figures.ts
+++ b/packages/emulator/src/figures.ts
@@ -1,24 +1,24 @@
-/** The figures of one emulated day. */
+/** Computes the figures of an emulated day. */
 import type { JobResult } from './callers.ts'
 import type { CapacityCheck } from './capacitycheck.ts'
 import { Outcome } from './callers.ts'
 
-/** Width of the windows of time that are judged by themselves, in milliseconds. */
+/** Width of the time windows that are scored separately, in milliseconds. */
 const WINDOW_MILLISECONDS = 2000
 
-/** Windows that make the worst seconds of a day. */
-const WORST_WINDOWS = 2
+/** Number of worst time windows that `worstWindows` averages. */
+const WORST_WINDOW_COUNT = 2
 
-/** Largest part of a kind of job that is judged by itself. */
-const LARGEST_PART = 0.1
+/** Fraction of each kind's jobs, those with the most work, that is scored separately. */
+const LARGEST_FRACTION = 0.1
 
-/** A refusal within this time is told at once, in milliseconds. */
-const SOON_MILLISECONDS = 20
+/** Maximum time to a refusal that counts as prompt, in milliseconds. */
+const PROMPT_MILLISECONDS = 20
 
-const THOUSANDTHS = 1000
+const THOUSANDTHS_PER_CORE = 1000
 const MILLISECONDS_PER_SECOND = 1000
 
-/** Credit got over credit owed, 0 to 1, and counts of callers. */
+/** Credits as fractions of the possible credit (0 to 1), counts of callers, and further figures. */
 export interface DayFigures {
   credit: number
   worstKind: number
@@ -29,80 +29,80 @@
   late: number
   refused: number
   failed: number
-  /** Callers in time, over all that were owed an answer. */
+  /** Fraction of the counted callers that were answered in time. */
   inTimePart: number
-  /** Cores whose work ended in time, mean of the day, and their part of those that were used. */
+  /** Mean number of cores that worked for jobs answered in time, and their fraction of all work. */
   coresInTime: number
   usefulPart: number
-  /** Part of the refusals that were told within 20 ms, the way to and from the caller not counted. */
+  /** Fraction of the refusals sent within 20 ms, without the travel time to and from the caller. */
   soonRefusals: number
-  /** The kind with the least part of its callers in time, over all callers' part. */
+  /** In-time fraction of the worst kind of job divided by that of all callers. */
   worstKindPart: number
-  /** Of each kind, the tenth of the jobs with the most work: its part in time over the kind's; the worst kind's. */
+  /** In-time fraction of the tenth of a kind's jobs with the most work divided by that of the whole kind; minimum of all kinds. */
   largestTenthPart: number
   startsFullPart: number
-  /** Targets that tasks crashed, starts of tasks under which three had, and jobs answered as failed that could be done. */
+  /** Target crashes caused by tasks, starts of tasks that had already crashed three targets, and failed jobs that could have been completed. */
   crashes: number
   startsAfterCrashes: number
   failedSound: number
-  /** Starts that elapsed a target over its capacity, tasks begun at leaving targets, and those of them that were cut off. */
+  /** Starts over the capacity of a target, tasks started at leaving targets, and those of them that the end of the target cut off. */
   startsOver: number
   begunLeaving: number
   cutOff: number
   messagesPerTask: number
-  /** Milliseconds of processor time a second of the busiest and the mean entry, and the mean agent, as priced. */
+  /** Milliseconds of processor time per second of the busiest entry, the mean entry and the mean agent, by the cost model. */
   entryMost: number
   entryMean: number
   agentMean: number
 }
 
-export interface Counts {
+export interface DayCounts {
   crashes: number
   startsAfterCrashes: number
-  /** Work done for each job, in thousandths of a core times milliseconds. */
+  /** Work done, by job, in thousandths of a core times milliseconds. */
   work: ReadonlyMap<string, number>
-  /** Length of the load. */
+  /** Duration of the load. */
   seconds: number
-  /** One way to callers, in milliseconds. */
+  /** One-way travel time to callers, in milliseconds. */
   callerDelay: number
   starts: number
   fullStarts: number
   messages: number
-  /** Milliseconds of processor time a second. */
+  /** Milliseconds of processor time per second. */
   entryLoads: readonly number[]
   agentLoads: readonly number[]
   checks: ReadonlyArray<Pick<CapacityCheck, 'startsOver' | 'begunLeaving' | 'cutOff'>>
 }
 
-export function figuresOf (all: readonly JobResult[], { work, seconds, callerDelay, starts, fullStarts, messages, entryLoads, agentLoads, crashes, startsAfterCrashes, checks }: Counts): DayFigures {
-  const owed = all.filter(({ outcome }) => outcome !== Outcome.Left)
-  const kinds = groupBy(owed, ({ job }) => job.kind)
-  const windows = groupBy(owed, ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
+export function figuresOf (all: readonly JobResult[], { work, seconds, callerDelay, starts, fullStarts, messages, entryLoads, agentLoads, crashes, startsAfterCrashes, checks }: DayCounts): DayFigures {
+  const counted = all.filter(({ outcome }) => outcome !== Outcome.Left)
+  const kinds = groupBy(counted, ({ job }) => job.kind)
+  const windows = groupBy(counted, ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
   const byWindow = [...windows.values()].map(creditOf).sort((one, other) => one - other)
-  const tasks = owed.reduce((sum, { job }) => sum + job.tasks.length, 0)
-  const count = (...outcomes: Outcome[]): number => owed.filter(({ outcome }) => outcomes.includes(outcome)).length
-  const inTime = owed.filter(({ outcome }) => outcome === Outcome.InTime)
-  const refusals = owed.filter(({ outcome }) => outcome === Outcome.Refused)
+  const tasks = counted.reduce((sum, { job }) => sum + job.tasks.length, 0)
+  const count = (...outcomes: Outcome[]): number => counted.filter(({ outcome }) => outcomes.includes(outcome)).length
+  const inTime = counted.filter(({ outcome }) => outcome === Outcome.InTime)
+  const refusals = counted.filter(({ outcome }) => outcome === Outcome.Refused)
   const workInTime = sum(inTime.map(({ job }) => work.get(job.id) ?? 0))
   return {
-    credit: creditOf(owed),
+    credit: creditOf(counted),
     worstKind: Math.min(...[...kinds.values()].map(creditOf)),
-    worstWindows: mean(byWindow.slice(0, WORST_WINDOWS)),
-    largestTenth: Math.min(...[...kinds.values()].map(results => creditOf(largest(results)))),
-    jobs: owed.length,
+    worstWindows: mean(byWindow.slice(0, WORST_WINDOW_COUNT)),
+    largestTenth: Math.min(...[...kinds.values()].map(results => creditOf(largestJobs(results)))),
+    jobs: counted.length,
     inTime: count(Outcome.InTime),
     late: count(Outcome.Late),
     refused: count(Outcome.Refused),
     failed: count(Outcome.Failed, Outcome.TooLate),
-    inTimePart: count(Outcome.InTime) / Math.max(1, owed.length),
+    inTimePart: count(Outcome.InTime) / Math.max(1, counted.length),
     crashes,
     startsAfterCrashes,
-    failedSound: owed.filter(({ outcome, job }) => outcome === Outcome.Failed && !job.poisoned).length,
-    coresInTime: workInTime / THOUSANDTHS / (seconds * MILLISECONDS_PER_SECOND),
+    failedSound: counted.filter(({ outcome, job }) => outcome === Outcome.Failed && !job.poisoned).length,
+    coresInTime: workInTime / THOUSANDTHS_PER_CORE / (seconds * MILLISECONDS_PER_SECOND),
     usefulPart: workInTime / Math.max(1, sum([...work.values()])),
-    soonRefusals: refusals.filter(({ responseTime }) => responseTime - 2 * callerDelay <= SOON_MILLISECONDS).length / Math.max(1, refusals.length),
-    worstKindPart: Math.min(...[...kinds.values()].map(inTimePartOf)) / Math.max(Number.EPSILON, inTimePartOf(owed)),
-    largestTenthPart: Math.min(...[...kinds.values()].map(results => inTimePartOf(largest(results)) / Math.max(Number.EPSILON, inTimePartOf(results)))),
+    soonRefusals: refusals.filter(({ responseTime }) => responseTime - 2 * callerDelay <= PROMPT_MILLISECONDS).length / Math.max(1, refusals.length),
+    worstKindPart: Math.min(...[...kinds.values()].map(inTimeFraction)) / Math.max(Number.EPSILON, inTimeFraction(counted)),
+    largestTenthPart: Math.min(...[...kinds.values()].map(results => inTimeFraction(largestJobs(results)) / Math.max(Number.EPSILON, inTimeFraction(results)))),
     startsFullPart: fullStarts / Math.max(1, starts),
     startsOver: sum(checks.map(({ startsOver }) => startsOver)),
     begunLeaving: sum(checks.map(({ begunLeaving }) => begunLeaving)),
@@ -114,7 +114,7 @@
   }
 }
 
-/** Credit of each second of a day, for plots. */
+/** Credit of each time window of a day, for plots. */
 export function creditOverTime (all: readonly JobResult[]): Array<{ second: number, credit: number }> {
   const windows = groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => String(Math.floor(job.at / WINDOW_MILLISECONDS)))
   return [...windows].map(([window, results]) => ({ second: Number(window) * WINDOW_MILLISECONDS / 1000, credit: creditOf(results) }))
@@ -126,24 +126,24 @@
   return Object.fromEntries([...groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => job.kind)].map(([kind, results]) => [kind, creditOf(results)]))
 }
 
-/** Part of the callers of each kind of job that were in time. */
+/** Fraction of the callers of each kind of job that were answered in time. */
 export function inTimeByKind (all: readonly JobResult[]): Record<string, number> {
-  return Object.fromEntries([...groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => job.kind)].map(([kind, results]) => [kind, inTimePartOf(results)]))
+  return Object.fromEntries([...groupBy(all.filter(({ outcome }) => outcome !== Outcome.Left), ({ job }) => job.kind)].map(([kind, results]) => [kind, inTimeFraction(results)]))
 }
 
-function inTimePartOf (results: readonly JobResult[]): number {
+function inTimeFraction (results: readonly JobResult[]): number {
   return results.filter(({ outcome }) => outcome === Outcome.InTime).length / Math.max(1, results.length)
 }
 
-/** Each kind of job weighs the same in the whole, as on the users' sheets. */
+/** Credit received divided by the possible credit. Every kind of job has the same weight, as in the users' own evaluation. */
 function creditOf (results: readonly JobResult[]): number {
   const kinds = [...groupBy(results, ({ job }) => job.kind).values()]
-  const parts = kinds.map(kind => ({ got: sum(kind.map(({ credit }) => credit)), owed: sum(kind.map(({ job }) => job.worth)) }))
-  return mean(parts.map(({ got, owed }) => got / owed))
+  const credits = kinds.map(kind => ({ received: sum(kind.map(({ credit }) => credit)), possible: sum(kind.map(({ job }) => job.worth)) }))
+  return mean(credits.map(({ received, possible }) => received / possible))
 }
 
-function largest (results: readonly JobResult[]): JobResult[] {
-  return [...results].sort((one, other) => other.job.worth - one.job.worth).slice(0, Math.ceil(results.length * LARGEST_PART))
+function largestJobs (results: readonly JobResult[]): JobResult[] {
+  return [...results].sort((one, other) => other.job.worth - one.job.worth).slice(0, Math.ceil(results.length * LARGEST_FRACTION))
 }
 
 function groupBy<Item> (items: readonly Item[], keyOf: (item: Item) => string): Map<string, Item[]> {
--- a/packages/emulator/src/main.ts
+++ b/packages/emulator/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Compares policies on emulated days:
+ * Command-line program that compares policy variants on emulated days:
  *
  *     npm run experiment -- FILE.json [--seeds 50] [--variants a,b] [--json] [--report FOLDER]
  *     npm run experiment -- --schema
--- a/packages/emulator/src/report.ts
+++ b/packages/emulator/src/report.ts
@@ -1,4 +1,4 @@
-/** Tables and plots of an experiment. */
+/** Tables and plots of the results of an experiment. */
 import type { Plot } from '@amaranthmast/bench/plots'
 import type { PlayedDay, VariantSummary } from './comparison.ts'
 import { drawPlot, pageOf } from '@amaranthmast/bench/reportpage'
@@ -6,13 +6,13 @@
 
 const COLUMNS = ['credit', 'worstKind', 'worstWindows', 'largestTenth', 'inTimePart', 'coresInTime', 'usefulPart', 'soonRefusals', 'worstKindPart', 'largestTenthPart', 'late', 'refused', 'failed', 'failedSound', 'crashes', 'startsAfterCrashes', 'startsFullPart', 'messagesPerTask', 'startsOver', 'begunLeaving', 'cutOff'] as const
 
-/** Digits after the point: counts of callers have one. */
-const PART_DIGITS = 3
+/** Decimal places of fractions and of counts. */
+const FRACTION_DIGITS = 3
 const COUNT_DIGITS = 1
 
-const COUNTS: ReadonlySet<string> = new Set(['coresInTime', 'late', 'refused', 'failed', 'failedSound', 'crashes', 'startsAfterCrashes', 'startsOver', 'begunLeaving', 'cutOff'])
+const COUNT_COLUMNS: ReadonlySet<string> = new Set(['coresInTime', 'late', 'refused', 'failed', 'failedSound', 'crashes', 'startsAfterCrashes', 'startsOver', 'begunLeaving', 'cutOff'])
 
-/** One line a variant: mean, and the difference to the first with its standard error. */
+/** Formats one line per variant: means, and differences from the first variant with their standard errors. */
 export function tableOf (summaries: readonly VariantSummary[]): string {
   const rows = summaries.map((summary, index) => [summary.variant, ...COLUMNS.map(column => cellOf(summary, column, index > 0))])
   const cells = [['variant', ...COLUMNS], ...rows]
@@ -22,30 +22,30 @@
 
 function cellOf (summary: VariantSummary, column: typeof COLUMNS[number], compared: boolean): string {
   const { mean: value, difference, error } = summary[column]
-  const digits = COUNTS.has(column) ? COUNT_DIGITS : PART_DIGITS
+  const digits = COUNT_COLUMNS.has(column) ? COUNT_DIGITS : FRACTION_DIGITS
   if (!compared) return value.toFixed(digits)
   return `${value.toFixed(digits)} (${difference < 0 ? '' : '+'}${difference.toFixed(digits)}±${error.toFixed(digits)})`
 }
 
 const PLOTS: readonly Plot[] = [
-  { section: 'figures', title: 'Credit, by variant', note: 'Part of what callers were owed that they got, mean of all days.', values: ['credit', 'worstKind', 'worstWindows', 'largestTenth'], x: 'variant', xTitle: 'variant', yTitle: 'part', mark: 'bar' },
+  { section: 'figures', title: 'Credit, by variant', note: 'Credit received as a fraction of the possible credit, mean of all days.', values: ['credit', 'worstKind', 'worstWindows', 'largestTenth'], x: 'variant', xTitle: 'variant', yTitle: 'part', mark: 'bar' },
   { section: 'fates', title: 'Callers not served in time, by variant', note: 'Callers of one day, mean of all days.', values: ['late', 'refused', 'failed'], x: 'variant', xTitle: 'variant', yTitle: 'callers', mark: 'bar' },
   { section: 'overTime', title: 'Credit over time', note: 'Windows of two seconds, by the time of the first submission; mean of all days.', values: ['credit'], x: 'second', xTitle: 'second', yTitle: 'part', mark: 'line', series: 'variant' },
   { section: 'byKind', title: 'Credit of each kind of job', note: 'Mean of all days.', values: ['credit'], x: 'variant', xTitle: 'variant', yTitle: 'part', mark: 'bar', panels: 'kind' },
-  { section: 'spread', title: 'Credit of each day', note: 'One line a variant; where lines cross, no variant is better on every day.', values: ['credit'], x: 'seed', xTitle: 'seed', yTitle: 'part', mark: 'line', series: 'variant' }
+  { section: 'spread', title: 'Credit of each day', note: 'One line per variant. Where lines cross, no variant is better on every day.', values: ['credit'], x: 'seed', xTitle: 'seed', yTitle: 'part', mark: 'line', series: 'variant' }
 ]
 
 type PlotRow = Record<string, string | number>
 
-/** The page as HTML that needs nothing else. */
+/** Renders a self-contained HTML page. */
 export async function pageFor (name: string, summaries: readonly VariantSummary[], played: readonly PlayedDay[]): Promise<string> {
   const rows = rowsOf(summaries, played)
-  const drawn: string[] = []
+  const sections: string[] = []
   for (const plot of PLOTS) {
     const svg = await drawPlot(plot, rows[plot.section] ?? [])
-    drawn.push(`<section>\n<h2>${plot.title}</h2>\n<p>${plot.note}</p>\n${svg}\n</section>`)
+    sections.push(`<section>\n<h2>${plot.title}</h2>\n<p>${plot.note}</p>\n${svg}\n</section>`)
   }
-  return pageOf(`Experiment ${name}`, drawn)
+  return pageOf(`Experiment ${name}`, sections)
 }
 
 function rowsOf (summaries: readonly VariantSummary[], played: readonly PlayedDay[]): Record<string, PlotRow[]> {
--- a/packages/emulator/test/admission.test.ts
+++ b/packages/emulator/test/admission.test.ts
@@ -1,4 +1,4 @@
-/** Short emulated days under admission by the whole fleet. Bounds are the aims that its page states. */
+/** Short emulated days with fleet-wide admission. The limits are the goals in its documentation. */
 import type { DayFigures } from '../src/figures.ts'
 import { test } from 'node:test'
 import { expect } from 'earl'
@@ -13,29 +13,29 @@
 }
 
 for (const seed of [1, 2]) {
-  test(`at twice the load the fleet works for what ends in time, and tells the others at once (fleet ${seed})`, () => {
+  test(`at twice the load the fleet works on jobs that end in time, and refuses the others promptly (fleet ${seed})`, () => {
     const { usefulPart, soonRefusals, worstKindPart, largestTenthPart } = figures(2, seed)
     expect([usefulPart >= 0.95, soonRefusals >= 0.95, worstKindPart >= 0.5, largestTenthPart >= 0.5]).toEqual([true, true, true, true])
   })
 
-  test(`as many cores work for what ends in time at three times the load as at one (fleet ${seed})`, () => {
+  test(`as many cores work on jobs that end in time at three times the load as at the full load (fleet ${seed})`, () => {
     expect(figures(3, seed).coresInTime >= 0.95 * figures(1, seed).coresInTime).toEqual(true)
   })
 
-  test(`with room to spare nobody is refused (fleet ${seed})`, () => {
+  test(`with free capacity no caller is refused (fleet ${seed})`, () => {
     expect(figures(0.6, seed).refused).toEqual(0)
   })
 }
 
-// Guards against shares that belong to one data centre: callers of a busy one must not be refused while others are served.
-test('a burst from one data centre is met by the capacity of all', () => {
+// Guards against shares per data centre: callers of a busy data centre must not be refused while the others have capacity.
+test('a burst from one data centre uses the capacity of all data centres', () => {
   const experiment = shortExperiment({ load: 0.5, seconds: 6, sizes: [1], speeds: [1], troubles: [trouble(TroubleKind.Burst, { factor: 2, dataCentre: 1 })] })
   const { results } = playDay(experiment, 1, FLEET)
   expect(results.filter(({ outcome }) => outcome === 'refused').length / results.length < 0.02).toEqual(true)
 })
 
-// Guards against an entry that is cut off in an overload: it must go on by what it sees itself, and the others too.
-test('with a third of the entries cut off in an overload the fleet goes on working for what ends in time', () => {
+// Guards against entries that stop admitting work in an overload because some of them are cut off: each side must go on with what it can observe itself.
+test('with a third of the entries cut off in an overload the fleet continues to work on jobs that end in time', () => {
   const experiment = shortExperiment({ load: 1.5, seconds: 6, sizes: [1], speeds: [1], troubles: [trouble(TroubleKind.CutEntries, { at: 2, for: 2, share: 0.34 })] })
   const fleet = playDay(experiment, 1, FLEET).figures
   const today = playDay(experiment, 1, {}).figures
--- a/packages/emulator/test/comparison.test.ts
+++ b/packages/emulator/test/comparison.test.ts
@@ -20,12 +20,12 @@
   expect(page.includes('<svg')).toEqual(true)
 })
 
-test('a day is the same whoever plays it', () => {
+test('a day has the same result each time it is played', () => {
   const experiment = shortExperiment({ seconds: 1 })
   expect(play(experiment, { variant: 'today', seed: 9 })).toEqual(play(experiment, { variant: 'today', seed: 9 }))
 })
 
-test('a drawn distribution has its mean and its most', () => {
+test('a drawn distribution keeps to its mean and its maximum', () => {
   const draw = logNormalDraw({ mean: 100, spread: 0.4, most: 250 }, new SeededRandom(1))
   const draws = Array.from({ length: 5000 }, draw)
   const mean = draws.reduce((sum, value) => sum + value, 0) / draws.length
--- a/packages/emulator/test/crashes.test.ts
+++ b/packages/emulator/test/crashes.test.ts
@@ -6,7 +6,7 @@
 import { TroubleKind } from '../src/troubletypes.ts'
 import { shortExperiment, trouble } from './experiments.ts'
 
-/** A part of one kind of job has a task that crashes its targets, each of which is back three seconds later. */
+/** Some jobs of one kind have a task that crashes its targets. Each target restarts three seconds later. */
 const CRASHING = trouble(TroubleKind.Crashing, { at: 0, for: 8, share: 0.02, factor: 0.3, kindOfJob: 'lookup' })
 
 function play (seed: number, isolates: boolean, others: TroublePlan[] = []): DayFigures {
@@ -15,37 +15,37 @@
 
 const SEEDS = [1, 2, 3]
 
-test('without isolation a task goes on crashing targets, and the count of such starts shows it', () => {
+test('without isolation tasks continue to crash targets, and startsAfterCrashes counts their starts', () => {
   expect(SEEDS.some(seed => play(seed, false).startsAfterCrashes > 0)).toEqual(true)
 })
 
-test('no task is started after three crashes, and no job beside is failed', () => {
+test('no task is started after three crashes, and no other job fails', () => {
   for (const seed of SEEDS) {
     const { crashes, startsAfterCrashes, failedSound } = play(seed, true)
     expect([crashes > 0, startsAfterCrashes, failedSound]).toEqual([true, 0, 0])
   }
 })
 
-test('callers of other jobs get more with isolation than without', () => {
+test('the credit of the other jobs is higher with isolation than without', () => {
   for (const seed of SEEDS) expect(play(seed, true).credit > play(seed, false).credit).toEqual(true)
 })
 
-/** One failure each, while tasks crash their targets: a start or two more than the three are allowed (the users' rule). */
+/** One additional failure each, while tasks crash targets. One or two starts after the third crash are allowed then (the users' rule). */
 const FAILURES: ReadonlyArray<[string, TroublePlan]> = [
-  // An entry dies after the first crash, and its caller comes back through another.
-  ['an entry dies', trouble(TroubleKind.KillEntries, { for: 1, share: 0.3 })],
-  // An agent that has seen a crash starts again and remembers nothing.
-  ['agents start again', trouble(TroubleKind.KillAgents, { for: 0.2, share: 0.3 })],
-  // Targets that go down together convict nobody.
-  ['a rack goes', trouble(TroubleKind.Crash, { for: 2, share: 0.45 })],
-  // A target is back under its id, and knows nothing.
-  ['targets start again under their names', trouble(TroubleKind.Restart, { for: 0.1, share: 0.3 })],
-  // An entry is cut off from the agents that tell it of crashes.
+  // An entry is killed after the first crash, and the caller resubmits through another one.
+  ['an entry is killed', trouble(TroubleKind.KillEntries, { for: 1, share: 0.3 })],
+  // An agent that has observed a crash restarts without its state.
+  ['agents restart', trouble(TroubleKind.KillAgents, { for: 0.2, share: 0.3 })],
+  // Targets that fail together must not confirm any task as the cause.
+  ['many targets crash together', trouble(TroubleKind.Crash, { for: 2, share: 0.45 })],
+  // A target restarts under the same name without its state.
+  ['targets restart under the same names', trouble(TroubleKind.Restart, { for: 0.1, share: 0.3 })],
+  // An entry is cut off from the agents that report crashes to it.
   ['an entry is cut off', trouble(TroubleKind.CutEntries, { for: 2, share: 0.3 })]
 ]
 
 for (const [what, failure] of FAILURES) {
-  test(`while ${what} no task is started more than twice after three crashes, and no job beside is failed`, () => {
+  test(`while ${what} tasks are started at most twice after three crashes, and no other job fails`, () => {
     for (const seed of SEEDS) {
       const { startsAfterCrashes, failedSound } = play(seed, true, [failure])
       expect([startsAfterCrashes <= 2, failedSound]).toEqual([true, 0])
--- a/packages/emulator/test/experiments.ts
+++ b/packages/emulator/test/experiments.ts
@@ -1,11 +1,11 @@
-/** Small experiments for tests, each number drawn from ranges by the seed. */
+/** Small experiments for tests. The seed draws figures from the ranges. */
 import type { Experiment, TroublePlan } from '../src/experiment.ts'
 import { readExperiment } from '../src/experiment.ts'
 import { TroubleKind } from '../src/troubletypes.ts'
 
 const KIND = { slackFactor: 1.6, latency: 60, deadline: 6000, estimateError: 0.4, cpu: { mean: [1500, 3000], spread: 0.2, most: 4500 } }
 
-/** Three kinds of job, short and wide to long and narrow, on seven targets. */
+/** Three kinds of job, from short ones with many tasks to long ones with few, on seven targets. */
 export function shortExperiment (changes: { load?: number, seconds?: number, troubles?: TroublePlan[], sizes?: number[], speeds?: number[] } = {}): Experiment {
   const { load = 0.6, seconds = 8, troubles = [], sizes = [1, 1, 1.5], speeds = [0.8, 1, 1.25] } = changes
   return readExperiment(JSON.stringify({
@@ -39,7 +39,7 @@
   }))._unsafeUnwrap()
 }
 
-/** A trouble from the second second on. */
+/** A trouble that starts after two seconds and lasts four, unless changed. */
 export function trouble (kind: TroubleKind, changes: Partial<TroublePlan> = {}): TroublePlan {
   return { kind, at: 2, for: 4, share: 0.15, factor: 1, ...changes }
 }
--- a/packages/emulator/test/largefleet.test.ts
+++ b/packages/emulator/test/largefleet.test.ts
@@ -8,7 +8,7 @@
 
 const KIND = { cpu: { mean: 5000, spread: 0.2, most: 7600 }, slackFactor: 1.6, latency: 60, deadline: 5000, attempts: 4, estimateError: 0.4 }
 
-/** Two data centres with a group of targets each. */
+/** Plays a day of a fleet with 60 targets in two data centres. */
 function play (changes: { entries?: number, troubles?: TroublePlan[] } = {}): DayFigures {
   const { entries = 12, troubles = [] } = changes
   const experiment = readExperiment(JSON.stringify({
@@ -28,18 +28,18 @@
   return playDay(experiment, 1, {}).figures
 }
 
-// Twelve entries chose from the same room: a third of their starts came back as full.
-test('starts are hardly ever refused for want of room, however many entries there are', () => {
+// Guards against entries that all choose from the same free capacity: with twelve of them a third of the starts was refused as full.
+test('with 12 and with 24 entries fewer than 5% of the starts are refused as full', () => {
   expect(play().startsFullPart < 0.05).toEqual(true)
   expect(play({ entries: 24 }).startsFullPart < 0.05).toEqual(true)
 })
 
-test('messages for each task hardly grow with the number of entries', () => {
+test('messages per task grow by less than 35% when the number of entries doubles', () => {
   expect(play({ entries: 24 }).messagesPerTask < 1.35 * play().messagesPerTask).toEqual(true)
 })
 
-// Half of the entries die at one moment, those that give out the room among them.
-test('callers are served again after half of the entries were killed', () => {
+// Half of the entries are killed at the same time, including those that grant capacity.
+test('callers are served again after half of the entries are killed', () => {
   const { credit } = play({ troubles: [{ kind: TroubleKind.KillEntries, at: 1.5, for: 1, share: 0.5, factor: 1 }] })
   expect(credit > 0.85).toEqual(true)
 })
