--- a/packages/emulator/src/callers.ts
+++ b/packages/emulator/src/callers.ts
@@ -19,6 +19,7 @@
   Left = 'left'
 }
 
+/** Result of one job, as its caller sees it. */
 export interface JobResult {
   job: JobPlan
   outcome: Outcome
@@ -43,6 +44,7 @@
   submittedAt: number
 }
 
+/** Submits the jobs of a day to the entries and records a result for each. */
 export class Callers {
   readonly results: JobResult[] = []
   readonly #plan: DayPlan
--- a/packages/emulator/src/calltroubles.ts
+++ b/packages/emulator/src/calltroubles.ts
@@ -35,6 +35,7 @@
   answer: number
 }
 
+/** Current faults of the calls to one target. */
 export class CallTroubles {
   readonly #timeline: Timeline
   readonly #random: SeededRandom
--- a/packages/emulator/src/capacitycheck.ts
+++ b/packages/emulator/src/capacitycheck.ts
@@ -1,5 +1,6 @@
 /** Checks the starts at a target: counts starts over its capacity and tasks that start while it is leaving. */
 
+/** Counters of one target. Capacities in thousandths of a core, times in milliseconds. */
 export class CapacityCheck {
   readonly #grace: number
   /** Earlier capacities in thousandths of a core, and when each of them ended. */
--- a/packages/emulator/src/connections.ts
+++ b/packages/emulator/src/connections.ts
@@ -18,6 +18,7 @@
   atAgent: number
 }
 
+/** All connections of a fleet, at most one for each pair of an entry and an agent. */
 export class Connections {
   readonly #timeline: Timeline
   readonly #travelTime: (pair: string) => number
--- a/packages/emulator/src/day.ts
+++ b/packages/emulator/src/day.ts
@@ -17,6 +17,7 @@
 /** Offset of the seed of the run from that of the plan. Separate random streams keep a policy from changing the load. */
 const PLAY_SEED_OFFSET = 1_000_003
 
+/** Figures and job results of an emulated day. */
 export interface Day {
   figures: DayFigures
   results: readonly JobResult[]
--- a/packages/emulator/src/dayplan.ts
+++ b/packages/emulator/src/dayplan.ts
@@ -20,6 +20,7 @@
 const FIXED_WORTH = 0.3
 const MAX_WORTH = 4
 
+/** A target as drawn for the day. */
 export interface TargetPlan {
   dataCentre: string
   capacity: Resources
@@ -27,6 +28,7 @@
   speed: number
 }
 
+/** A job as drawn for the day, with the behaviour of its tasks and its caller. Durations in milliseconds. */
 export interface JobPlan {
   id: string
   kind: string
@@ -54,6 +56,7 @@
   leavesAfter: number
 }
 
+/** A trouble with its figures drawn. Durations in milliseconds. */
 export interface ScheduledTrouble {
   kind: TroubleKind
   /** Milliseconds from the start of the load. */
@@ -66,6 +69,7 @@
   dataCentre: number | undefined
 }
 
+/** Everything about a day that does not depend on the policy. */
 export interface DayPlan {
   dataCentres: string[]
   entries: Array<{ dataCentre: string }>
@@ -97,6 +101,7 @@
   meanWork: number
 }
 
+/** Draws the plan of a day. The order of the draws determines the day of a seed, so it must not change. */
 export function drawDay (experiment: Experiment, seed: number): DayPlan {
   const random = new SeededRandom(seed)
   const { fleet } = experiment
--- a/packages/emulator/src/emulatedtarget.ts
+++ b/packages/emulator/src/emulatedtarget.ts
@@ -78,6 +78,7 @@
   answer: () => void
 }
 
+/** Answers the calls of one agent, runs tasks on a leased worker, and announces itself with heartbeats. */
 export class EmulatedTarget {
   readonly #timeline: Timeline
   readonly #options: TargetOptions
--- a/packages/emulator/src/figures.ts
+++ b/packages/emulator/src/figures.ts
@@ -56,6 +56,7 @@
   agentMean: number
 }
 
+/** Counters of a fleet over one day. */
 export interface DayCounts {
   crashes: number
   startsAfterCrashes: number
--- a/packages/emulator/src/fleet.ts
+++ b/packages/emulator/src/fleet.ts
@@ -17,7 +17,7 @@
 import { linkEnds, numberOf, pairOf } from './linkends.ts'
 import { PeerLinks } from './peerlinks.ts'
 import { TroubleKind } from './troubletypes.ts'
-import { costOfAgentEffect, costOfAgentEvent, costOfEntryEffect, costOfEntryEvent } from './processorcosts.ts'
+import { costOfAgentEffect, costOfAgentEvent, costOfEntryEffect, costOfEntryEvent } from './prices.ts'
 import { Process } from './process.ts'
 
 /** Time limits of the platform, in milliseconds. */
@@ -50,6 +50,7 @@
 /** Maximum random delay that is added to the delay of a link, in milliseconds. */
 const MAX_JITTER = 0.3
 
+/** Callbacks of a fleet to its callers and its log. */
 export interface FleetEvents {
   answered: (request: number, answer: Answer) => void
   /** The process of an entry has ended. Connections of callers to it break, or hang if its machine has lost power. */
@@ -57,6 +58,7 @@
   note?: (process: string, what: string, fields: Record<string, unknown>) => void
 }
 
+/** Runs the processes of a fleet, executes their effects, and counts messages, starts and work. */
 export class EmulatedFleet {
   readonly entries: EntryProcess[] = []
   readonly agents: AgentProcess[] = []
--- a/packages/emulator/src/peerlinks.ts
+++ b/packages/emulator/src/peerlinks.ts
@@ -11,6 +11,7 @@
   earliestArrival: number
 }
 
+/** All links between entries, one for each direction of a pair. */
 export class PeerLinks {
   readonly #timeline: Timeline
   readonly #entries: readonly EntryProcess[]
--- a/packages/emulator/src/process.ts
+++ b/packages/emulator/src/process.ts
@@ -23,6 +23,10 @@
 
 const NO_COSTS = { event: () => 0, effect: () => 0 }
 
+/**
+ * Passes events to a core and executes its effects. Each start creates a new core and begins a new incarnation; the timers and
+ * pending events of the previous one are dropped.
+ */
 export class Process<Event, Effect> {
   readonly name: string
   readonly #timeline: Timeline
