--- a/packages/dispatch/explore/faults.ts
+++ b/packages/dispatch/explore/faults.ts
@@ -42,7 +42,7 @@
   freezeEntry: world => world.entries[randomEntryIndex(world)]?.freeze(300 + world.random.next() * 4000),
   freezeAgent: world => world.freezeAgent(randomAgentIndex(world), 300 + world.random.next() * 4000),
   crashWorker: world => world.targets[randomAgentIndex(world)]?.crash(100 + world.random.next() * 3000),
-  lateOrders: world => world.targets[randomAgentIndex(world)]?.carryOutLate(2000, 0.5),
+  lateOrders: world => world.targets[randomAgentIndex(world)]?.executeLate(2000, 0.5),
   loseAnswers: world => world.targets[randomAgentIndex(world)]?.loseAnswers(200 + world.random.next() * 2500),
   cutOne: world => world.cut(randomEntryIndex(world), randomAgentIndex(world), 300 + world.random.next() * 4000),
   cutEntry: world => {
@@ -92,7 +92,7 @@
 
 const CANCEL_FAULTS: Readonly<Record<string, Fault>> = {
   cancelWave: world => world.cancels.wave(),
-  lateOrders: world => world.targets[randomAgentIndex(world)]?.carryOutLate(2000, 0.5),
+  lateOrders: world => world.targets[randomAgentIndex(world)]?.executeLate(2000, 0.5),
   loseAnswers: world => world.targets[randomAgentIndex(world)]?.loseAnswers(200 + world.random.next() * 1000),
   removeEntry: world => world.removeEntry(randomEntryIndex(world), 6000),
   removeAgent: world => world.restartAgent(randomAgentIndex(world), 6000),
@@ -122,18 +122,18 @@
     shrinkCapacity(world, agent, 6000)
     world.restartAgent(agent, 30 + world.random.next() * 1500)
   },
-  notice: world => world.targets[randomAgentIndex(world)]?.leave(500 + world.random.next() * 4000, { states: true, back: 300 + world.random.next() * 1000 }),
+  notice: world => world.targets[randomAgentIndex(world)]?.leave(500 + world.random.next() * 4000, { announcesEnd: true, restartsAfter: 300 + world.random.next() * 1000 }),
   noticeAndRestart: world => {
     const agent = randomAgentIndex(world)
-    world.targets[agent]?.leave(2000 + world.random.next() * 3000, { states: true, back: 300 })
+    world.targets[agent]?.leave(2000 + world.random.next() * 3000, { announcesEnd: true, restartsAfter: 300 })
     world.timeline.after(200, () => world.restartAgent(agent, 100, 300))
   }
 }
 
 /** Reduces a target's capacity to a random fraction for a time. */
 function shrinkCapacity (world: World, agent: number, milliseconds: number): void {
-  world.targets[agent]?.setSize(0.2 + world.random.next() * 0.6)
-  world.timeline.after(milliseconds, () => world.targets[agent]?.setSize(1))
+  world.targets[agent]?.setCapacityFraction(0.2 + world.random.next() * 0.6)
+  world.timeline.after(milliseconds, () => world.targets[agent]?.setCapacityFraction(1))
 }
 
 const PARTITION_FAULTS: Readonly<Record<string, Fault>> = {
@@ -202,7 +202,7 @@
 
 /** Gives a target notice to leave, after which it deregisters and lingers for a short time. */
 function deregister (world: World, refuses: boolean): void {
-  world.targets[randomAgentIndex(world)]?.leave(world.random.next() * 1000, { back: 300 + world.random.next() * 1000, lingers: 1 + world.random.next() * 199, refuses })
+  world.targets[randomAgentIndex(world)]?.leave(world.random.next() * 1000, { restartsAfter: 300 + world.random.next() * 1000, lingers: 1 + world.random.next() * 199, refuses })
 }
 
 /** Delays about half of the agents and loses the stops sent to their targets. */
--- a/packages/dispatch/explore/world.ts
+++ b/packages/dispatch/explore/world.ts
@@ -6,7 +6,7 @@
 import type { AgentGuards } from '../src/agentcontext.ts'
 import type { AnswerKind, EntryEffect, EntryEvent } from '../src/entrytypes.ts'
 import type { FleetGuards } from '../src/fleetguards.ts'
-import type { TargetTraits } from '@amaranthmast/emulator/emulatedtarget'
+import type { TargetOptions } from '@amaranthmast/emulator/emulatedtarget'
 import type { AgentProcess, EntryProcess } from '@amaranthmast/emulator/linkends'
 import { SeededRandom } from '@amaranthmast/standins/random'
 import { Callers, handleEndsFirst } from './callers.ts'
@@ -263,7 +263,7 @@
     }))
   }
 
-  #traits (dataCentre: string, agent: AgentProcess): TargetTraits {
+  #traits (dataCentre: string, agent: AgentProcess): TargetOptions {
     return {
       service: 'service',
       dataCentre,
@@ -272,7 +272,7 @@
       clockRate: 1 - MAX_CLOCK_SLOWNESS * this.random.next(),
       longestLease: PLATFORM_BOUNDS.longestLease,
       heartbeat: HEARTBEAT_INTERVAL,
-      news: CAPACITY_UPDATE_BOUND,
+      capacityGrace: CAPACITY_UPDATE_BOUND,
       rejectsOverload: !this.#changingTargets,
       refusesOtherLives: !this.#keepNames,
       pollsWait: this.#dataCentres > 1 || this.#late,
