--- a/packages/coordination/src/agent.ts
+++ b/packages/coordination/src/agent.ts
@@ -57,7 +57,7 @@
   readonly #stop = new AgentStop()
   #view: View = EMPTY_VIEW
   #configurationVersion = 0
-  #rooted = false
+  #knownToAllEntries = false
   #stopped = false
   #state = AgentState.Joining
   #lastHeartbeat = Number.NEGATIVE_INFINITY
@@ -74,7 +74,7 @@
     acknowledge: (entry, acknowledge) => {
       for (const task of acknowledge.tasks) this.#ledger.acknowledge(task)
     },
-    recall: (entry, recall, now) => this.#recall(entry, recall, now),
+    recall: (entry, recall, now) => this.#recallLedger(entry, recall, now),
     heartbeatReply: (entry, reply, now) => {
       this.#stop.heartbeatAnswered(entry, reply.sent)
       this.#confirmation.replied(entry, reply, this.#view.version)
@@ -187,7 +187,7 @@
   /** Why nothing from this entry may start now; undefined when it may. */
   #refusalReason (entry: Instance, now: number): string | undefined {
     if (this.#guards.fence && !isMember(this.#view, entry)) return 'the entry is not a member of the view'
-    if (this.#guards.rooted && !this.#rooted) return 'the agent is not yet known to every entry'
+    if (this.#guards.rooted && !this.#knownToAllEntries) return 'the agent is not yet known to every entry'
     if (this.#guards.isolation && !this.#mayStart(now)) return 'the agent is cut off from the view'
     if (this.#stop.ordered) return 'the agent is leaving'
     return undefined
@@ -198,7 +198,7 @@
    * entry, the owner computed here differs from the one computed by that entry. A reply marked with the older epoch
    * would then state that none of these jobs was ever started.
    */
-  #recall (entry: Instance, recall: { epoch: string, view: View }, now: number): void {
+  #recallLedger (entry: Instance, recall: { epoch: string, view: View }, now: number): void {
     this.#adopt(recall.view, now)
     const members = liveMembers(this.#view)
     const lines = this.#ledger.handOver(entry, job => ownerOf(job, members) === entry, holder => !isMember(this.#view, holder))
@@ -232,8 +232,8 @@
    * the remaining ones then know of every agent that may have started a task for it.
    */
   #refreshState (now: number): void {
-    if (!this.#rooted && this.#confirmation.everyMemberReplied(this.#view)) {
-      this.#rooted = true
+    if (!this.#knownToAllEntries && this.#confirmation.everyMemberReplied(this.#view)) {
+      this.#knownToAllEntries = true
       this.#reportAll()
     }
     const state = this.#currentState(now)
@@ -244,13 +244,13 @@
 
   #currentState (now: number): AgentState {
     if (this.#stop.ordered) return AgentState.Leaving
-    if (!this.#rooted) return AgentState.Joining
+    if (!this.#knownToAllEntries) return AgentState.Joining
     return this.#mayStart(now) ? AgentState.Serving : AgentState.Isolated
   }
 
   #report (entry: Instance): TargetReport {
     const load = this.#slots.load(entry)
-    return { ...load, leaving: this.#stop.ordered || (this.#guards.rooted && !this.#rooted), viewVersion: this.#view.version, configurationVersion: this.#configurationVersion }
+    return { ...load, leaving: this.#stop.ordered || (this.#guards.rooted && !this.#knownToAllEntries), viewVersion: this.#view.version, configurationVersion: this.#configurationVersion }
   }
 
   #reportAll (): void {
--- a/packages/coordination/src/agentexchange.ts
+++ b/packages/coordination/src/agentexchange.ts
@@ -90,26 +90,26 @@
   membersChanged (): void {
     for (const agent of this.#agents.live()) {
       this.#adoption.reassigned(agent, this.#responsibilityFor(agent))
-      this.#recall(agent)
+      this.#sendRecall(agent)
     }
   }
 
   /** Marks agents as lost that have been disconnected for too long, and removes those that are relevant to no job. */
   tick (now: number): void {
     const { agentLost, retention } = this.#context.timings
-    for (const agent of this.#agents.overdue(agentLost, now)) this.#giveUp(agent, now)
+    for (const agent of this.#agents.overdue(agentLost, now)) this.#abandon(agent, now)
     this.#agents.expire(retention * AGENT_RETENTION_FACTOR, now)
   }
 
   #announced (agent: Instance, target: TargetDescription, report: TargetReport, now: number): void {
     const replaced = this.#agents.announced(agent, target)
     this.#context.emit({ type: 'note', what: 'agent announced', fields: { agent, replaced, leaving: report.leaving, view: this.#membership.view.version } })
-    if (replaced !== undefined) this.#giveUp(replaced, now)
+    if (replaced !== undefined) this.#abandon(replaced, now)
     this.#context.sendAgent(agent, this.#hello())
     this.#scheduler.targetUp(agent, target, report, now)
     this.#adoption.connected(agent, report.configurationVersion, this.#responsibilityFor(agent), now)
     this.#takeover.addAgent(agent, undefined, now)
-    this.#recall(agent)
+    this.#sendRecall(agent)
     this.#jobs.agentReconnected(agent, now)
   }
 
@@ -124,14 +124,14 @@
     this.#context.sendAgent(agent, { case: 'heartbeatReply', value })
   }
 
-  #giveUp (agent: Instance, now: number): void {
+  #abandon (agent: Instance, now: number): void {
     this.#agents.disconnected(agent, now)
     if (!this.#agents.giveUp(agent)) return
     this.#scheduler.targetDown(agent, now)
     this.#jobs.agentLost(agent, now)
   }
 
-  #recall (agent: Instance): void {
+  #sendRecall (agent: Instance): void {
     if (!this.#takeover.awaitedAgents.has(agent)) return
     this.#context.sendAgent(agent, { case: 'recall', value: { epoch: this.#takeover.epoch, view: this.#membership.view } })
   }
--- a/packages/coordination/src/entry.ts
+++ b/packages/coordination/src/entry.ts
@@ -45,7 +45,7 @@
 export class Entry {
   readonly #instance: Instance
   readonly #timings: Timings
-  readonly #parts: EntryComponents
+  readonly #components: EntryComponents
   /** Members of the epoch that began last. */
   #members: Member[] = []
   #state = EntryState.Joining
@@ -55,23 +55,23 @@
   #effects: EntryEffect[] = []
 
   readonly #handlers: EventHandlers = {
-    submitted: ({ request, job }, now) => this.#parts.router.submit(request, job, now),
-    callerGone: ({ request }) => this.#parts.router.callerGone(request),
-    cancelRequested: ({ request, job }, now) => this.#parts.router.cancel(request, job, now),
-    lookUpRequested: ({ request, job }, now) => this.#parts.router.lookUp(request, job, now),
-    agentMessage: ({ agent, message }, now) => this.#parts.agentExchange.message(agent, message, now),
-    agentDisconnected: ({ agent }, now) => this.#parts.agentExchange.disconnected(agent, now),
-    peerConnected: ({ peer }, now) => this.#parts.peerExchange.connected(peer, now),
-    peerMessage: ({ peer, message }, now) => this.#parts.peerExchange.message(peer, message, now),
-    peerDisconnected: ({ peer, refused }, now) => this.#parts.peerExchange.disconnected(peer, refused, now),
+    submitted: ({ request, job }, now) => this.#components.router.submit(request, job, now),
+    callerGone: ({ request }) => this.#components.router.callerGone(request),
+    cancelRequested: ({ request, job }, now) => this.#components.router.cancel(request, job, now),
+    lookUpRequested: ({ request, job }, now) => this.#components.router.lookUp(request, job, now),
+    agentMessage: ({ agent, message }, now) => this.#components.agentExchange.message(agent, message, now),
+    agentDisconnected: ({ agent }, now) => this.#components.agentExchange.disconnected(agent, now),
+    peerConnected: ({ peer }, now) => this.#components.peerExchange.connected(peer, now),
+    peerMessage: ({ peer, message }, now) => this.#components.peerExchange.message(peer, message, now),
+    peerDisconnected: ({ peer, refused }, now) => this.#components.peerExchange.disconnected(peer, refused, now),
     viewRead: ({ view, revision, readStarted }, now) => {
-      if (this.#parts.membership.viewRead(view, revision, readStarted)) this.#membersChanged(now)
+      if (this.#components.membership.viewRead(view, revision, readStarted)) this.#membersChanged(now)
     },
     viewReadFailed: (event, now) => {
-      if (this.#parts.membership.viewReadFailed()) this.#membersChanged(now)
+      if (this.#components.membership.viewReadFailed()) this.#membersChanged(now)
     },
-    viewWritten: () => this.#parts.membership.viewWritten(),
-    configurationRead: ({ configuration, document }, now) => this.#parts.configurations.offer(configuration, document, now),
+    viewWritten: () => this.#components.membership.viewWritten(),
+    configurationRead: ({ configuration, document }, now) => this.#components.configurations.offer(configuration, document, now),
     tick: (event, now) => this.#tick(now),
     stopOrdered: (event, now) => this.#stopOrdered(now)
   }
@@ -79,7 +79,7 @@
   constructor (options: EntryOptions) {
     this.#instance = options.instance
     this.#timings = options.timings ?? DEFAULT_TIMINGS
-    this.#parts = assembleEntry(options, {
+    this.#components = assembleEntry(options, {
       emit: effect => this.#emit(effect),
       hello: () => this.#hello(),
       heartbeat: now => this.#heartbeat(now),
@@ -97,84 +97,84 @@
   handle (event: EntryEvent, now: number): EntryEffect[] {
     this.#effects = []
     if (this.#stopped) return this.#effects
-    this.#parts.membership.detectPause(now)
+    this.#components.membership.detectPause(now)
     const handler = this.#handlers[event.type] as (event: EntryEvent, now: number) => void
     handler(event, now)
-    if (this.#state !== EntryState.Fenced) this.#parts.jobs.dispatch(now)
-    this.#parts.configurations.send(now)
+    if (this.#state !== EntryState.Fenced) this.#components.jobs.dispatch(now)
+    this.#components.configurations.send(now)
     return this.#effects
   }
 
   status (): EntryStatus {
     return {
       state: this.#state,
-      view: this.#parts.membership.view,
-      configurationVersion: this.#parts.adoption.inForce.version,
-      configurationBehind: this.#parts.adoption.behind(),
-      agents: this.#parts.agents.summaries(),
-      openJobs: this.#parts.jobs.open,
-      heldJobs: this.#parts.jobs.size,
-      receipts: this.#parts.receipts.size,
-      waiting: this.#parts.router.waiting,
-      horizon: this.#parts.memory.horizon,
-      scheduler: this.#parts.scheduler.status()
+      view: this.#components.membership.view,
+      configurationVersion: this.#components.adoption.inForce.version,
+      configurationBehind: this.#components.adoption.behind(),
+      agents: this.#components.agents.summaries(),
+      openJobs: this.#components.jobs.open,
+      heldJobs: this.#components.jobs.size,
+      receipts: this.#components.receipts.size,
+      waiting: this.#components.router.waiting,
+      horizon: this.#components.memory.horizon,
+      scheduler: this.#components.scheduler.status()
     }
   }
 
   // Membership
 
   #membersChanged (now: number): void {
-    if (this.#parts.membership.removed) {
+    if (this.#components.membership.removed) {
       this.#replaced()
       return
     }
-    if (!this.#parts.membership.joined) return
+    if (!this.#components.membership.joined) return
     this.#joinedAt ??= now
     this.#handleRemovedMembers(now)
-    this.#members = liveMembers(this.#parts.membership.view)
-    this.#parts.scheduler.setEntryCount(this.#members.filter(member => !member.leaving).length || 1, now)
+    this.#members = liveMembers(this.#components.membership.view)
+    this.#components.scheduler.setEntryCount(this.#members.filter(member => !member.leaving).length || 1, now)
     this.#beginTakeover(now)
-    this.#parts.transfers.releaseOrphans(now)
-    this.#parts.peerExchange.notifyRemovedPeers()
+    this.#components.transfers.releaseOrphans(now)
+    this.#components.peerExchange.notifyRemovedPeers()
     const peers = this.#otherMembers()
     this.#emit({ type: 'connectPeers', peers: peers.map(({ instance, address }) => ({ instance, address })) })
-    this.#parts.agentExchange.membersChanged()
-    for (const peer of peers) this.#parts.transfers.send(peer.instance)
-    for (const peer of peers) if (!this.#parts.links.peers.has(peer.instance)) this.#parts.jobs.peerLost(peer.instance, now)
-    this.#parts.memory.update(now)
-    this.#parts.router.membersChanged(now)
+    this.#components.agentExchange.membersChanged()
+    for (const peer of peers) this.#components.transfers.send(peer.instance)
+    for (const peer of peers) if (!this.#components.links.peers.has(peer.instance)) this.#components.jobs.peerLost(peer.instance, now)
+    this.#components.memory.update(now)
+    this.#components.router.membersChanged(now)
     this.#memoryUpdated(now)
   }
 
   #handleRemovedMembers (now: number): void {
     for (const { instance } of this.#members) {
-      if (isMember(this.#parts.membership.view, instance)) continue
-      this.#parts.jobs.peerLost(instance, now)
-      this.#parts.memory.memberRemoved(instance, now)
+      if (isMember(this.#components.membership.view, instance)) continue
+      this.#components.jobs.peerLost(instance, now)
+      this.#components.memory.memberRemoved(instance, now)
     }
-    this.#parts.memory.expireLosses(now)
+    this.#components.memory.expireLosses(now)
   }
 
   #beginTakeover (now: number): void {
-    this.#parts.memory.beginEpoch()
-    this.#parts.takeover.begin({
-      epoch: epochOf(this.#parts.membership.view),
+    this.#components.memory.beginEpoch()
+    this.#components.takeover.begin({
+      epoch: epochOf(this.#components.membership.view),
       peers: this.#otherMembers().map(member => member.instance),
-      agents: this.#parts.agents.disconnections(),
-      bothCopiesLost: this.#parts.memory.losses > 1,
+      agents: this.#components.agents.disconnections(),
+      bothCopiesLost: this.#components.memory.losses > 1,
       now
     })
   }
 
   #otherMembers (): Member[] {
-    return liveMembers(this.#parts.membership.view).filter(member => member.instance !== this.#instance)
+    return liveMembers(this.#components.membership.view).filter(member => member.instance !== this.#instance)
   }
 
   // State
 
   /** Whether the memory has ever been complete and the entry is not resuming from a pause. */
   get #ready (): boolean {
-    return this.#parts.memory.complete && !this.#parts.membership.resuming
+    return this.#components.memory.complete && !this.#components.membership.resuming
   }
 
   /** Whether this entry has just joined, so that its agents and its configuration may not have arrived yet. */
@@ -183,17 +183,17 @@
   }
 
   #memoryUpdated (now: number): void {
-    this.#parts.memory.update(now)
-    this.#parts.router.retryParked(now)
+    this.#components.memory.update(now)
+    this.#components.router.retryParked(now)
     this.#refreshState()
   }
 
   #refreshState (): void {
-    if (this.#parts.plannedStop.ordered) {
+    if (this.#components.plannedStop.ordered) {
       this.#changeState(EntryState.Leaving)
       return
     }
-    if (this.#state === EntryState.Joining && this.#parts.membership.joined && this.#parts.takeover.transfersComplete) {
+    if (this.#state === EntryState.Joining && this.#components.membership.joined && this.#components.takeover.transfersComplete) {
       this.#changeState(EntryState.Serving)
     }
   }
@@ -202,23 +202,23 @@
     if (state === this.#state) return
     this.#state = state
     const members = this.#members.map(member => member.instance).join(', ')
-    this.#emit({ type: 'stateChanged', state, detail: `view ${this.#parts.membership.view.version}: ${members}` })
+    this.#emit({ type: 'stateChanged', state, detail: `view ${this.#components.membership.view.version}: ${members}` })
   }
 
   /** Another entry has taken over, so nothing held here may be acted on any more. */
   #replaced (): void {
-    if (!this.#parts.plannedStop.departing) this.#changeState(EntryState.Fenced)
+    if (!this.#components.plannedStop.departing) this.#changeState(EntryState.Fenced)
     this.#stop()
   }
 
   #stopOrdered (now: number): void {
-    if (!this.#parts.plannedStop.order(now)) return
+    if (!this.#components.plannedStop.order(now)) return
     this.#refreshState()
-    if (!this.#parts.membership.joined) this.#stop()
+    if (!this.#components.membership.joined) this.#stop()
   }
 
   #stop (): void {
-    this.#parts.router.stopped()
+    this.#components.router.stopped()
     this.#stopped = true
     this.#emit({ type: 'stopped' })
   }
@@ -226,25 +226,25 @@
   // Time
 
   #tick (now: number): void {
-    this.#parts.membership.tick(now)
-    this.#parts.takeover.tick(now)
-    this.#parts.agentExchange.tick(now)
-    this.#parts.receipts.expire(now)
-    this.#parts.jobs.tick(now)
-    this.#parts.router.tick(now)
+    this.#components.membership.tick(now)
+    this.#components.takeover.tick(now)
+    this.#components.agentExchange.tick(now)
+    this.#components.receipts.expire(now)
+    this.#components.jobs.tick(now)
+    this.#components.router.tick(now)
     this.#memoryUpdated(now)
     if (now - this.#lastHeartbeat >= this.#timings.heartbeat) this.#heartbeat(now)
-    this.#parts.plannedStop.tick(now)
+    this.#components.plannedStop.tick(now)
   }
 
   #heartbeat (now: number): void {
     this.#lastHeartbeat = now
-    const value = { sent: now, viewVersion: this.#parts.membership.view.version, configurationVersion: this.#parts.adoption.inForce.version }
-    this.#parts.links.broadcast({ case: 'heartbeat', value })
+    const value = { sent: now, viewVersion: this.#components.membership.view.version, configurationVersion: this.#components.adoption.inForce.version }
+    this.#components.links.broadcast({ case: 'heartbeat', value })
   }
 
   #hello (): EntryToAgent & PeerMessage {
-    const value = { instance: this.#instance, view: this.#parts.membership.view, configurationVersion: this.#parts.adoption.inForce.version }
+    const value = { instance: this.#instance, view: this.#components.membership.view, configurationVersion: this.#components.adoption.inForce.version }
     return { case: 'hello', value }
   }
 
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -36,7 +36,7 @@
   #measuredAt = 0
   #ejections = 0
   #refusalEjections = 0
-  #silent = false
+  #unresponsive = false
   #consecutiveSuccesses = 0
   #flaps = 0
   #returnedAt = -Infinity
@@ -109,11 +109,11 @@
   /** Ejects a busy target that has not responded for long, until it responds or its next probe is due. */
   ejectUnresponsive (now: number): void {
     this.eject(now)
-    this.#silent = true
+    this.#unresponsive = true
   }
 
   probe (): void {
-    this.#silent = false
+    this.#unresponsive = false
     this.trust = Trust.Probing
     this.allowed = 1
   }
@@ -141,8 +141,8 @@
   }
 
   #endUnresponsive (): void {
-    if (!this.#silent) return
-    this.#silent = false
+    if (!this.#unresponsive) return
+    this.#unresponsive = false
     this.trust = Trust.Probing
     this.allowed = this.#initialLimit()
   }
--- a/packages/coordination/src/jobqueries.ts
+++ b/packages/coordination/src/jobqueries.ts
@@ -75,7 +75,7 @@
   redirected (submission: string, holder: Instance): boolean {
     const query = this.#queries.get(submission)
     if (query === undefined) return false
-    if (holder !== this.#context.instance) this.#ask(query, submission, holder)
+    if (holder !== this.#context.instance) this.#forwardQuery(query, submission, holder)
     return true
   }
 
@@ -142,7 +142,7 @@
     if (!this.#ready()) return
     const holder = this.#holders.otherHolder(job)
     if (holder !== undefined) {
-      this.#ask(query, submission, holder)
+      this.#forwardQuery(query, submission, holder)
       return
     }
     const from = { entry: this.#context.instance, submission }
@@ -150,7 +150,7 @@
     else this.lookUpFor(from, job)
   }
 
-  #ask (query: Query, submission: string, holder: Instance): void {
+  #forwardQuery (query: Query, submission: string, holder: Instance): void {
     this.#context.sendPeer(holder, { case: query.kind, value: { job: query.job, submission } })
   }
 
--- a/packages/coordination/src/scheduler.ts
+++ b/packages/coordination/src/scheduler.ts
@@ -234,7 +234,7 @@
     const byProvider = this.#dispatched[task.service] ??= {}
     const { provider } = target.description
     byProvider[provider] = (byProvider[provider] ?? 0) + 1
-    const patienceMilliseconds = this.#agentPatience(item, now)
+    const patienceMilliseconds = this.#agentWaitLimit(item, now)
     return { job: task.job, index: task.index, agent: target.agent, patienceMilliseconds }
   }
 
@@ -244,7 +244,7 @@
    * is added. A burst fills the agents' queues, and the next task of another tenant is still placed ahead
    * of it.
    */
-  #agentPatience (item: QueuedTask, now: number): number {
+  #agentWaitLimit (item: QueuedTask, now: number): number {
     const { tenant } = item.task
     const patience = item.key - now
     const fairShare = this.#tenantActivity.part(tenant, this.#quotas, now)
--- a/packages/coordination/src/slots.ts
+++ b/packages/coordination/src/slots.ts
@@ -131,8 +131,8 @@
 
   load (entry: Instance): SlotsLoad {
     const account = this.#account(entry)
-    account.reported ??= this.#credit(entry)
-    return { running: this.#running.size, queued: this.#waiting.size, credit: this.#credit(entry) }
+    account.reported ??= this.#creditOf(entry)
+    return { running: this.#running.size, queued: this.#waiting.size, credit: this.#creditOf(entry) }
   }
 
   /**
@@ -146,7 +146,7 @@
     for (const entry of this.#entries) {
       if (this.#reportsLeft < 1) return changed
       const account = this.#account(entry)
-      const credit = this.#credit(entry)
+      const credit = this.#creditOf(entry)
       if (account.reported !== undefined && Math.abs(credit - account.reported) < threshold) continue
       account.reported = credit
       this.#reportsLeft -= 1
@@ -195,7 +195,7 @@
    * Slots and queue places that the other entries have not used recently, but never less than an equal
    * fraction.
    */
-  #credit (entry: Instance): number {
+  #creditOf (entry: Instance): number {
     const { slots, queueLimit } = this.#options
     let others = 0
     for (const [other, account] of this.#accounts) {
--- a/packages/coordination/src/transfers.ts
+++ b/packages/coordination/src/transfers.ts
@@ -53,7 +53,7 @@
     for (const { job, digest, executor } of this.#receipts.values()) {
       if (ownerOf(job, this.#members()) === peer) receipts.push({ job, digest, executor })
     }
-    this.#context.sendPeer(peer, { case: 'transfer', value: this.#transfer(receipts) })
+    this.#context.sendPeer(peer, { case: 'transfer', value: this.#createTransfer(receipts) })
   }
 
   /** Hands all job records held here over to the remaining entries. */
@@ -64,7 +64,7 @@
       jobs: this.#jobs.values(),
       receipts: this.#receipts.values()
     })
-    for (const [peer, receipts] of handover) this.#context.sendPeer(peer, { case: 'transfer', value: this.#transfer(receipts) })
+    for (const [peer, receipts] of handover) this.#context.sendPeer(peer, { case: 'transfer', value: this.#createTransfer(receipts) })
   }
 
   /** Handles the transfer of a peer, whose view has already been merged. */
@@ -122,7 +122,7 @@
     return isMember(this.#context.view(), executor) && this.#takeover.hasTransferred(executor)
   }
 
-  #transfer (receipts: Receipt[]): Transfer {
+  #createTransfer (receipts: Receipt[]): Transfer {
     return {
       view: this.#context.view(),
       receipts,
--- a/packages/dispatch/src/agent.ts
+++ b/packages/dispatch/src/agent.ts
@@ -70,7 +70,7 @@
   readonly #context: AgentContext
   readonly #held = new HeldTasks()
   readonly #target: TargetWatch
-  readonly #room: TargetCapacity
+  readonly #targetCapacity: TargetCapacity
   readonly #runs: TaskRuns
   readonly #entries: EntrySessions
   readonly #evacuations: EvacuationGuard
@@ -103,7 +103,7 @@
     entryUnlinked: ({ entry }, now) => this.#entries.unlink(entry, now),
     entryMessage: ({ entry, message }, now) => this.#entryMessage(entry, message, now),
     evacuationsRead: ({ state }) => this.#evacuations.update(state),
-    woke: ({ asleep }, now) => this.#woke(asleep, now),
+    woke: ({ asleep }, now) => this.#handleSuspension(asleep, now),
     tick: (_event, now) => this.#tick(now),
     stopOrdered: (_event, now) => this.#stopOrdered(now)
   }
@@ -140,12 +140,12 @@
     this.#context = context
     this.#target = target
     this.#crashes = new CrashReports({ context, held, target, sendToAll: message => this.#entries.sendToAll(message) })
-    this.#room = new TargetCapacity({ held, capacity: () => target.facts?.capacity, stop })
+    this.#targetCapacity = new TargetCapacity({ held, capacity: () => target.facts?.capacity, stop })
     this.#runs = new TaskRuns({
       context,
       held,
       target,
-      room: this.#room,
+      room: this.#targetCapacity,
       refusalCause: ({ expected }, now) => this.#refusalCause(expected, now),
       tell: (session, end, now) => this.#entries.tell(session, end, now),
       sendSlow: (session, slow) => this.#entries.sendSlow(session, slow),
@@ -157,7 +157,7 @@
       context,
       held,
       target,
-      used: now => this.#room.used(now),
+      used: now => this.#targetCapacity.used(now),
       announced: now => this.#announced(now),
       crashes: now => this.#crashes.records(now),
       stopTasksOf: (session, reason, now) => this.#runs.stopTasksOf(session, reason, now)
@@ -189,7 +189,7 @@
 
   status (): AgentStatus {
     const { facts, cleared, lease } = this.#target
-    return { target: facts, cleared, silent: lease.silent, tasks: this.#held.size, unheld: this.#room.unheld, entries: this.#entries.linked, ends: this.#runs.ends.counts, strays: this.#runs.ends.strays }
+    return { target: facts, cleared, silent: lease.silent, tasks: this.#held.size, unheld: this.#targetCapacity.unheld, entries: this.#entries.linked, ends: this.#runs.ends.counts, strays: this.#runs.ends.strays }
   }
 
   // The target
@@ -220,7 +220,7 @@
 
   #beginIncarnation (announcement: Announcement, now: number): void {
     this.#crashes.begun(announcement.facts.instance, now)
-    this.#room.clear()
+    this.#targetCapacity.clear()
     this.#target.beginIncarnation(announcement, now)
     this.#runs.stopUnprovenRuns(now)
   }
@@ -344,7 +344,7 @@
 
   // Time
 
-  #woke (asleep: number, now: number): void {
+  #handleSuspension (asleep: number, now: number): void {
     this.#context.note('woke from a suspension', { asleep: Math.round(asleep), tasks: this.#held.size })
     this.#entries.loseContact(now)
     this.#target.notice.noteSuspended()
@@ -367,7 +367,7 @@
     if (this.#target.departing && this.#held.size === 0) this.#loseDepartedTarget(now)
     this.#updateWithdrawal(now)
     this.#announceDrainEnd(now)
-    if (this.#room.expire(now)) this.#entries.markAllFreed()
+    if (this.#targetCapacity.expire(now)) this.#entries.markAllFreed()
     this.#entries.tick(now)
     this.#evacuations.tick(now)
     this.#runs.repeatStops(now)
--- a/packages/dispatch/src/crashreports.ts
+++ b/packages/dispatch/src/crashreports.ts
@@ -16,13 +16,13 @@
 }
 
 export class CrashReports {
-  readonly #parts: CrashReportsDependencies
+  readonly #dependencies: CrashReportsDependencies
   readonly #crashes = new CrashMemory()
   /** Incarnation that refused connections until all its tasks had expired. If a new one follows, it has crashed. */
   #unreachable: string | undefined
 
   constructor (dependencies: CrashReportsDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
   }
 
   /** All current records, for an entry that has connected. */
@@ -37,40 +37,40 @@
 
   /** Handles the loss of the current incarnation. Returns the cause with which its tasks end. A crash is reported to entries before these ends. */
   lost (ending: IncarnationEnd, now: number): Cause {
-    const { context: { policy }, target: { facts, deregistered } } = this.#parts
+    const { context: { policy }, target: { facts, deregistered } } = this.#dependencies
     if (facts === undefined) return Cause.TargetLost
     if (ending === IncarnationEnd.Unknown) this.#unreachable = facts.instance
     if (!policy.isolatesSuspects || facts.leaving || deregistered || ending !== IncarnationEnd.Replaced) return Cause.TargetLost
-    this.#tell('target crashed under tasks', this.#crashes.crashed(facts.instance, this.#heldTaskIds(), now))
+    this.#logAndSend('target crashed under tasks', this.#crashes.crashed(facts.instance, this.#heldTaskIds(), now))
     return Cause.Crashed
   }
 
   /** Reports that tasks expire because the target does not respond. This proves no crash, but the tasks count as suspects until the target answers. */
   lapsed (now: number): void {
-    const { context: { policy }, target: { facts, lease, deregistered } } = this.#parts
+    const { context: { policy }, target: { facts, lease, deregistered } } = this.#dependencies
     if (!policy.isolatesSuspects || facts === undefined || facts.leaving || deregistered || !lease.silent) return
-    this.#tell('target unresponsive until its tasks expired', this.#crashes.silent(facts.instance, this.#heldTaskIds(), now))
+    this.#logAndSend('target unresponsive until its tasks expired', this.#crashes.silent(facts.instance, this.#heldTaskIds(), now))
   }
 
   /** Withdraws the reports about an incarnation that answers. */
   answered (instance: string, now: number): void {
-    this.#tell('target had not crashed', this.#crashes.answered(instance, now))
+    this.#logAndSend('target had not crashed', this.#crashes.answered(instance, now))
   }
 
   /** Handles the begin of an incarnation, which may be the one that was unreachable. */
   begun (instance: string, now: number): void {
     const before = this.#unreachable
     this.#unreachable = undefined
-    if (before !== undefined && before !== instance) this.#tell('target crashed under tasks', this.#crashes.crashed(before, [], now))
+    if (before !== undefined && before !== instance) this.#logAndSend('target crashed under tasks', this.#crashes.crashed(before, [], now))
   }
 
-  #tell (what: string, records: readonly CrashRecord[]): void {
+  #logAndSend (what: string, records: readonly CrashRecord[]): void {
     if (records.length === 0) return
-    this.#parts.context.note(what, { instance: records[0]?.instance, tasks: records.map(({ task }) => task) })
-    this.#parts.sendToAll({ type: 'crashes', records: [...records] })
+    this.#dependencies.context.note(what, { instance: records[0]?.instance, tasks: records.map(({ task }) => task) })
+    this.#dependencies.sendToAll({ type: 'crashes', records: [...records] })
   }
 
   #heldTaskIds (): string[] {
-    return this.#parts.held.all().map(({ order }) => order.task)
+    return this.#dependencies.held.all().map(({ order }) => order.task)
   }
 }
--- a/packages/dispatch/src/entry.ts
+++ b/packages/dispatch/src/entry.ts
@@ -66,8 +66,8 @@
 
   readonly #handlers: Handlers = {
     submitted: ({ request, job }, now) => this.#submitted(request, job, now),
-    requestGone: ({ request }, now) => this.#requestGone(request, now),
-    cancelAsked: ({ request, id }, now) => this.#cancelAsked(request, id, now),
+    requestGone: ({ request }, now) => this.#callerGone(request, now),
+    cancelAsked: ({ request, id }, now) => this.#cancelRequested(request, id, now),
     stateAsked: ({ request, id }) => this.#answer(request, this.#stateOf(id)),
     agentLinked: ({ agent, incarnation }, now) => this.#fleet.agentLinked(agent, incarnation, now),
     agentUnlinked: ({ agent }, now) => this.#fleet.agentUnlinked(agent, now),
@@ -248,14 +248,14 @@
     this.#byRequest.set(request, job)
   }
 
-  #requestGone (request: number, now: number): void {
+  #callerGone (request: number, now: number): void {
     const job = this.#byRequest.get(request)
     this.#byRequest.delete(request)
     if (job === undefined || !job.waiting.delete(request) || job.waiting.size > 0) return
     if (job.state === JobState.Open) this.#close(job, { kind: AnswerKind.Cancelled, reason: Reason.CallerGone, retryAfter: 0 }, now)
   }
 
-  #cancelAsked (request: number, id: string, now: number): void {
+  #cancelRequested (request: number, id: string, now: number): void {
     const known = this.#cancel(id, now)
     if (this.#answers.get(id) === undefined) this.#cancellations.add(id, now)
     this.#answer(request, known ? CANCELLED : unknown())
--- a/packages/dispatch/src/entrysessions.ts
+++ b/packages/dispatch/src/entrysessions.ts
@@ -36,13 +36,13 @@
 }
 
 export class EntrySessions {
-  readonly #parts: EntrySessionsDependencies
+  readonly #dependencies: EntrySessionsDependencies
   readonly #context: AgentContext
   readonly #held: HeldTasks
   readonly #sessions = new Map<string, EntrySession>()
 
   constructor (dependencies: EntrySessionsDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
     this.#context = dependencies.context
     this.#held = dependencies.held
   }
@@ -72,7 +72,7 @@
     this.#context.note('entry linked', { entry, tasks: session.tasks })
     // The ping goes first: its echo has to arrive before the first start, which is refused without contact.
     this.#ping(session, now)
-    const crashes = this.#parts.crashes(now)
+    const crashes = this.#dependencies.crashes(now)
     if (crashes.length > 0) this.#send(session, { type: 'crashes', records: crashes })
     const { first, ends } = session.unacknowledged()
     if (ends.length > 0) this.#send(session, { type: 'ends', first, ends, sent: now, load: this.#load(session, now) })
@@ -96,14 +96,14 @@
     if (session === undefined || !session.connected) return undefined
     if (message.type === 'start' && message.echo !== undefined) this.echoed(session, message.echo, now)
     if (message.type !== 'start' || !this.#context.guards.contact || this.#isContactFresh(session, now)) return session
-    if (session.inContact(now) || session.role === AllocationRole.Asks) this.#hold(session, message, now)
+    if (session.inContact(now) || session.role === AllocationRole.Asks) this.#holdStart(session, message, now)
     else this.#closeOutOfContact(session, message.tasks.length)
     return undefined
   }
 
   /** Whether the contact is fresh enough to start tasks of the entry. */
   #isContactFresh (session: EntrySession, now: number): boolean {
-    return now < this.#parts.target.grants.startableUntil(session.contactUntil)
+    return now < this.#dependencies.target.grants.startableUntil(session.contactUntil)
   }
 
   /** Refuses starts and closes the link: they or this process were delayed, so the entry may have placed the tasks elsewhere. */
@@ -118,7 +118,7 @@
    * not fresh enough. A start that was delayed by a partition or a frozen process gets no such echo: an entry that counts the
    * task as gone has closed the link before.
    */
-  #hold (session: EntrySession, message: Extract<EntryMessage, { type: 'start' }>, now: number): void {
+  #holdStart (session: EntrySession, message: Extract<EntryMessage, { type: 'start' }>, now: number): void {
     if (session.held.length === 0) {
       session.heldSince = now
       this.#ping(session, now)
@@ -185,7 +185,7 @@
   stopTasksOutOfContact (now: number): void {
     if (!this.#context.guards.contact) return
     for (const session of this.#sessions.values()) {
-      if (session.tasks > 0 && !session.inContact(now)) this.#parts.stopTasksOf(session, 'out of contact', now)
+      if (session.tasks > 0 && !session.inContact(now)) this.#dependencies.stopTasksOf(session, 'out of contact', now)
     }
   }
 
@@ -208,7 +208,7 @@
 
   #pingInterval ({ tasks, role }: EntrySession): number {
     const { ping, idlePing } = this.#context.timings
-    if (tasks > 0) return this.#parts.target.grants.ping
+    if (tasks > 0) return this.#dependencies.target.grants.ping
     if (role === AllocationRole.Allocates) return ping
     if (role !== AllocationRole.Asks) return idlePing
     const { partitions, quietPing } = this.#context.policy
@@ -243,7 +243,7 @@
   #replaced (session: EntrySession, now: number): void {
     session.connected = false
     session.disconnectedAt = Number.NEGATIVE_INFINITY
-    this.#parts.stopTasksOf(session, 'the entry was restarted', now)
+    this.#dependencies.stopTasksOf(session, 'the entry was restarted', now)
   }
 
   #ping (session: EntrySession, now: number): void {
@@ -253,14 +253,14 @@
 
   #announce (session: EntrySession, now: number): void {
     const held = this.#held.of(session).map(({ order: { task, attempt } }) => ({ task, attempt }))
-    this.#send(session, { type: 'announce', target: this.#parts.announced(now), held, load: this.#load(session, now) })
+    this.#send(session, { type: 'announce', target: this.#dependencies.announced(now), held, load: this.#load(session, now) })
   }
 
   /** Whether the load of other entries has changed enough to be sent to an entry that waits for capacity. */
   #loadChanged (session: EntrySession, now: number): boolean {
     if (!session.waiting || !this.#context.policy.tellsRoom) return false
-    const capacity = this.#parts.target.facts?.capacity.cpu ?? 0
-    const change = Math.abs(this.#parts.used(now).cpu - session.used.cpu - session.toldOthers)
+    const capacity = this.#dependencies.target.facts?.capacity.cpu ?? 0
+    const change = Math.abs(this.#dependencies.used(now).cpu - session.used.cpu - session.toldOthers)
     return change > LOAD_CHANGE_FRACTION * capacity && now - session.toldAt >= LOAD_INTERVAL_MILLISECONDS * this.#sessions.size
   }
 
@@ -269,23 +269,23 @@
     session.toldOthers = others.cpu
     session.toldAt = now
     const { taken } = session
-    const steady = this.#parts.target.pace.steady(now)
+    const steady = this.#dependencies.target.pace.steady(now)
     session.taken = []
     session.freed = false
     return {
       ...(taken.length > 0 ? { taken } : {}),
       ...(this.#held.suspected ? { suspect: true } : {}),
       ...(steady === undefined ? {} : { steady: rounded(steady) }),
-      pace: Math.round(this.#parts.target.pace.value(now) * SPEED_RATIO_PRECISION) / SPEED_RATIO_PRECISION,
+      pace: Math.round(this.#dependencies.target.pace.value(now) * SPEED_RATIO_PRECISION) / SPEED_RATIO_PRECISION,
       others
     }
   }
 
   /** Resources used by other entries. This is the whole capacity while a task runs alone. */
   #othersOf (session: EntrySession, now: number): Resources {
-    const capacity = this.#parts.target.facts?.capacity
+    const capacity = this.#dependencies.target.facts?.capacity
     if (this.#held.reserved && capacity !== undefined) return { ...capacity }
-    const others = { ...this.#parts.used(now) }
+    const others = { ...this.#dependencies.used(now) }
     subtractFrom(others, session.used)
     return others
   }
--- a/packages/dispatch/src/evacuationguard.ts
+++ b/packages/dispatch/src/evacuationguard.ts
@@ -18,16 +18,16 @@
  * the agent, informed that the entry cannot read the store, reads it itself.
  */
 export class EvacuationGuard {
-  readonly #parts: EvacuationGuardDependencies
+  readonly #dependencies: EvacuationGuardDependencies
   readonly #known = new Evacuations()
   #lastReadAt = Number.NEGATIVE_INFINITY
 
   constructor (dependencies: EvacuationGuardDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
   }
 
   forbids (dataCentre: string | undefined): boolean {
-    return this.#parts.context.guards.evacuation && this.#known.has(dataCentre)
+    return this.#dependencies.context.guards.evacuation && this.#known.has(dataCentre)
   }
 
   noteReported (session: EntrySession, state: EvacuationState | undefined, confirmed: boolean): void {
@@ -38,7 +38,7 @@
   }
 
   update (state: EvacuationState): void {
-    if (this.#known.learn(state)) this.#parts.context.note('evacuations in force', { ...state })
+    if (this.#known.learn(state)) this.#dependencies.context.note('evacuations in force', { ...state })
   }
 
   /** Sends the evacuations to an entry whose start was refused because of them, once for each revision. */
@@ -46,15 +46,15 @@
     const { state } = this.#known
     if (state === undefined || session.evacuationsKnown >= state.revision) return
     session.evacuationsKnown = state.revision
-    this.#parts.send(session, state)
+    this.#dependencies.send(session, state)
   }
 
   tick (now: number): void {
-    if (now - this.#lastReadAt < EVACUATIONS_READ_INTERVAL_MILLISECONDS || !this.#parts.context.guards.evacuationReads) return
-    for (const session of this.#parts.sessions()) {
+    if (now - this.#lastReadAt < EVACUATIONS_READ_INTERVAL_MILLISECONDS || !this.#dependencies.context.guards.evacuationReads) return
+    for (const session of this.#dependencies.sessions()) {
       if (!session.connected || session.confirmsEvacuations) continue
       this.#lastReadAt = now
-      this.#parts.context.emit({ type: 'readEvacuations' })
+      this.#dependencies.context.emit({ type: 'readEvacuations' })
       return
     }
   }
--- a/packages/dispatch/src/farcost.ts
+++ b/packages/dispatch/src/farcost.ts
@@ -18,7 +18,7 @@
   readonly #dependencies: RemoteCostDependencies
   readonly #overheads: Overheads = { near: undefined, far: undefined }
   /** Cache of the fraction of free processors by data centre, cleared before each decision. */
-  #room = new Map<string, number>()
+  #freeFractions = new Map<string, number>()
 
   constructor (dependencies: RemoteCostDependencies) {
     this.#dependencies = dependencies
@@ -33,7 +33,7 @@
 
   /** Clears the cached loads before a decision. */
   clearLoads (): void {
-    this.#room.clear()
+    this.#freeFractions.clear()
   }
 
   /** Extra time of a task at a remote target for the way there and back, in milliseconds; 0 until tasks at local and remote targets have finished. */
@@ -49,7 +49,7 @@
   }
 
   #freeFractionIn (dataCentre: string): number {
-    const known = this.#room.get(dataCentre)
+    const known = this.#freeFractions.get(dataCentre)
     if (known !== undefined) return known
     let free = 0
     let total = 0
@@ -59,7 +59,7 @@
       total += agent.target.capacity.cpu
     }
     const fraction = total === 0 ? 0 : free / total
-    this.#room.set(dataCentre, fraction)
+    this.#freeFractions.set(dataCentre, fraction)
     return fraction
   }
 }
--- a/packages/dispatch/src/leasegrants.ts
+++ b/packages/dispatch/src/leasegrants.ts
@@ -29,12 +29,12 @@
 }
 
 export class LeaseGrants {
-  readonly #parts: LeaseGrantsDependencies
+  readonly #dependencies: LeaseGrantsDependencies
   readonly #context: AgentContext
   readonly #held: HeldTasks
 
   constructor (dependencies: LeaseGrantsDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
     this.#context = dependencies.context
     this.#held = dependencies.held
   }
@@ -53,20 +53,20 @@
 
   /** Time from which the task cannot be running, neither in the current incarnation nor in a new one that received its orders. */
   expiresAt (held: HeldTask): number {
-    const lease = this.#parts.lease()
-    return this.#mayReachNextIncarnation && !this.#parts.isOfCurrentIncarnation(held) ? lease.expiredInNextIncarnationAt : lease.expiredAt
+    const lease = this.#dependencies.lease()
+    return this.#mayReachNextIncarnation && !this.#dependencies.isOfCurrentIncarnation(held) ? lease.expiredInNextIncarnationAt : lease.expiredAt
   }
 
   /** Deadline for a start that is sent now; undefined while no start may be sent. */
   startDeadline (now: number): number | undefined {
     if (!this.#maySendDeadline(now)) return undefined
-    return this.renewal(now) ?? this.#parts.lease().repeat(MIN_LEASE_MILLISECONDS, now)
+    return this.renewal(now) ?? this.#dependencies.lease().repeat(MIN_LEASE_MILLISECONDS, now)
   }
 
   /** Deadline for a poll that is sent now; undefined while the lease may not be renewed. An orphaned run is ended by letting the lease expire. */
   renewal (now: number): number | undefined {
     const leftToExpire = this.#context.guards.boundedLease && this.#held.hasOrphanedRuns
-    return leftToExpire || !this.#mayRenew(now) ? undefined : this.#parts.lease().renew(now)
+    return leftToExpire || !this.#mayRenew(now) ? undefined : this.#dependencies.lease().renew(now)
   }
 
   /**
@@ -74,7 +74,7 @@
    * renewed as soon as the ends of the tasks that prevent this are listed.
    */
   mayStart (now: number): boolean {
-    return this.#maySendDeadline(now) && (this.#mayRenew(now) || this.#parts.lease().hasRemaining(MIN_LEASE_MILLISECONDS, now))
+    return this.#maySendDeadline(now) && (this.#mayRenew(now) || this.#dependencies.lease().hasRemaining(MIN_LEASE_MILLISECONDS, now))
   }
 
   /** Whether a run that several stops did not end has to be ended by the lease, which also ends all other tasks of the target. */
@@ -84,13 +84,13 @@
 
   /** Whether a call meant for the current incarnation may be carried out by a new one. */
   get #mayReachNextIncarnation (): boolean {
-    return this.#context.guards.freshContact && !this.#parts.refusesOtherLives()
+    return this.#context.guards.freshContact && !this.#dependencies.refusesOtherLives()
   }
 
   /** Whether any deadline may be sent. A new incarnation would extend all tasks that may have reached it by the longest lease. */
   #maySendDeadline (now: number): boolean {
     if (!this.#mayReachNextIncarnation) return true
-    return now < this.startableUntil(this.#held.earliestContactEnd(held => !this.#parts.isOfCurrentIncarnation(held)))
+    return now < this.startableUntil(this.#held.earliestContactEnd(held => !this.#dependencies.isOfCurrentIncarnation(held)))
   }
 
   /**
@@ -99,6 +99,6 @@
    */
   #mayRenew (now: number): boolean {
     if (this.#context.guards.boundedLease && now >= this.#held.earliestContactEnd()) return false
-    return this.#maySendDeadline(now) && !this.#parts.deregistered() && !this.endsWithLease
+    return this.#maySendDeadline(now) && !this.#dependencies.deregistered() && !this.endsWithLease
   }
 }
--- a/packages/dispatch/src/pressure.ts
+++ b/packages/dispatch/src/pressure.ts
@@ -18,7 +18,7 @@
  */
 export class Pressure {
   #refused = 0
-  #begun = 0
+  #started = 0
   #late = 0
   #decayedAt = 0
 
@@ -29,7 +29,7 @@
 
   noteBegun (now: number): void {
     this.#decay(now)
-    this.#begun += 1
+    this.#started += 1
   }
 
   noteLate (now: number): void {
@@ -40,19 +40,19 @@
   /** Fraction of the recently decided jobs that were refused or not answered in time, 0 to 1. */
   missedFraction (now: number): number {
     this.#decay(now)
-    return Math.min(1, (this.#refused + this.#late) / Math.max(1, this.#refused + this.#begun))
+    return Math.min(1, (this.#refused + this.#late) / Math.max(1, this.#refused + this.#started))
   }
 
   /** Recently started jobs, each second. */
   begunPerSecond (now: number): number {
     this.#decay(now)
-    return this.#begun * Math.LN2 / PRESSURE_HALF_LIFE_MILLISECONDS * MILLISECONDS_PER_SECOND
+    return this.#started * Math.LN2 / PRESSURE_HALF_LIFE_MILLISECONDS * MILLISECONDS_PER_SECOND
   }
 
   /** When the caller should return, in milliseconds. The spread derives from the id, so that the same job gets the same time. */
   retryAfter (job: string, now: number): number {
     this.#decay(now)
-    const pressure = this.#refused / Math.max(1, this.#begun)
+    const pressure = this.#refused / Math.max(1, this.#started)
     const span = Math.min(MAX_RETRY_AFTER_MILLISECONDS, MIN_RETRY_AFTER_MILLISECONDS + PRESSURE_HALF_LIFE_MILLISECONDS * pressure)
     const fraction = hashString(job) % SPREAD_STEPS / SPREAD_STEPS
     return Math.round(MIN_RETRY_AFTER_MILLISECONDS + (span - MIN_RETRY_AFTER_MILLISECONDS) * fraction)
@@ -61,7 +61,7 @@
   #decay (now: number): void {
     const factor = 2 ** (-(now - this.#decayedAt) / PRESSURE_HALF_LIFE_MILLISECONDS)
     this.#refused *= factor
-    this.#begun *= factor
+    this.#started *= factor
     this.#late *= factor
     this.#decayedAt = now
   }
--- a/packages/dispatch/src/queues.ts
+++ b/packages/dispatch/src/queues.ts
@@ -47,7 +47,7 @@
 
   constructor (queues: readonly Queue[]) {
     for (const queue of queues) {
-      const { byPrefix } = this.#host(queue.host.toLowerCase())
+      const { byPrefix } = this.#hostQueues(queue.host.toLowerCase())
       if (!byPrefix.has(queue.prefix)) byPrefix.set(queue.prefix, queue)
     }
     for (const host of this.#byHost.values()) host.lengths = lengthsOf(host.byPrefix.keys())
@@ -63,7 +63,7 @@
     return undefined
   }
 
-  #host (name: string): HostQueues {
+  #hostQueues (name: string): HostQueues {
     let host = this.#byHost.get(name)
     if (host === undefined) {
       host = { lengths: [], byPrefix: new Map() }
--- a/packages/dispatch/src/runends.ts
+++ b/packages/dispatch/src/runends.ts
@@ -26,7 +26,7 @@
 /** Counts ends and orphaned runs since the start of the agent. */
 export class RunEnds {
   readonly #counts = new Map<EndEvidence, number>()
-  #strays = 0
+  #orphanedRuns = 0
 
   note (evidence: EndEvidence): void {
     this.#counts.set(evidence, (this.#counts.get(evidence) ?? 0) + 1)
@@ -34,7 +34,7 @@
 
   /** Counts a newly listed run that the agent did not start or has already reported as ended. */
   noteOrphanedRun (): void {
-    this.#strays += 1
+    this.#orphanedRuns += 1
   }
 
   get counts (): ReadonlyMap<EndEvidence, number> {
@@ -43,6 +43,6 @@
 
   /** Number of orphaned runs since the start of the agent. Each may have overlapped with another run of its task. */
   get strays (): number {
-    return this.#strays
+    return this.#orphanedRuns
   }
 }
--- a/packages/dispatch/src/steadyspeedratio.ts
+++ b/packages/dispatch/src/steadyspeedratio.ts
@@ -48,14 +48,14 @@
    * has changed and the observations are dropped
    */
   value (recentRatio: number, now: number): SpeedRatioEstimate | undefined {
-    const known = this.#known(now)
+    const known = this.#estimate(now)
     if (known === undefined) return undefined
     if (recentRatio === 0 || Math.abs(Math.log(Math.max(recentRatio, Number.MIN_VALUE) / known.pace)) < CHANGED_SPEED_RATIO) return known
     this.#batches = []
     return undefined
   }
 
-  #known (now: number): SpeedRatioEstimate | undefined {
+  #estimate (now: number): SpeedRatioEstimate | undefined {
     const { mean, weight, batches } = this.#mean(now)
     if (weight === 0) return undefined
     const taskError = TASK_LOG_DEVIATION / Math.sqrt(weight)
--- a/packages/dispatch/src/targetcapacity.ts
+++ b/packages/dispatch/src/targetcapacity.ts
@@ -30,12 +30,12 @@
 }
 
 export class TargetCapacity {
-  readonly #parts: TargetCapacityDependencies
+  readonly #dependencies: TargetCapacityDependencies
   readonly #withheld = new Map<string, UntrackedRun>()
   readonly #left = new Map<string, FormerTask>()
 
   constructor (dependencies: TargetCapacityDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
   }
 
   /** Number of runs without a held task, including stopped ones that may still use capacity. */
@@ -45,8 +45,8 @@
 
   /** Whether a task with these needs fits. */
   fits (needs: Resources, now: number): boolean {
-    const capacity = this.#parts.capacity()
-    const used = this.#known(now)
+    const capacity = this.#dependencies.capacity()
+    const used = this.#knownUse(now)
     if (used === undefined || capacity === undefined) return false
     addTo(used, needs)
     return fits(used, capacity)
@@ -54,7 +54,7 @@
 
   /** Resources that may be in use: the whole capacity while a run with unknown needs is there. */
   used (now: number): Resources {
-    return this.#known(now) ?? { ...(this.#parts.capacity() ?? NO_RESOURCES) }
+    return this.#knownUse(now) ?? { ...(this.#dependencies.capacity() ?? NO_RESOURCES) }
   }
 
   /** Drops the runs that can no longer use capacity. Returns whether there were any. */
@@ -91,7 +91,7 @@
 
   /** Counts a run whose stop was confirmed but whose end is not listed: it may have begun unnoticed and still be stopping. */
   noteStopped ({ order: { task, needs }, run, stopConfirmedAt = 0 }: HeldTask): void {
-    this.#withheld.set(runKey(task, run), { needs, listedAt: 0, until: stopConfirmedAt + this.#parts.stop })
+    this.#withheld.set(runKey(task, run), { needs, listedAt: 0, until: stopConfirmedAt + this.#dependencies.stop })
   }
 
   /**
@@ -103,7 +103,7 @@
   notePoll (running: ReadonlySet<string>, sent: number, now: number): void {
     for (const [key, orphaned] of this.#withheld) {
       if (orphaned.until !== Infinity || sent < orphaned.listedAt) continue
-      if (!running.has(key)) orphaned.until = now + this.#parts.stop
+      if (!running.has(key)) orphaned.until = now + this.#dependencies.stop
     }
   }
 
@@ -114,8 +114,8 @@
   }
 
   /** Resources in use; undefined while a run with unknown needs is there. */
-  #known (now: number): Resources | undefined {
-    const used = { ...this.#parts.held.used }
+  #knownUse (now: number): Resources | undefined {
+    const used = { ...this.#dependencies.held.used }
     for (const { needs, until } of this.#withheld.values()) {
       if (now >= until) continue
       if (needs === undefined) return undefined
@@ -125,7 +125,7 @@
   }
 
   #needsOf (task: string): Resources | undefined {
-    return this.#parts.held.get(task)?.order.needs ?? this.#left.get(task)?.needs
+    return this.#dependencies.held.get(task)?.order.needs ?? this.#left.get(task)?.needs
   }
 
   #remember (task: string, left: FormerTask): void {
--- a/packages/dispatch/src/targetwatch.ts
+++ b/packages/dispatch/src/targetwatch.ts
@@ -51,7 +51,7 @@
   readonly grants: LeaseGrants
   #lease: TargetLease
   #notice: TargetNotice
-  #pace: TargetSpeedRatio
+  #speedRatio: TargetSpeedRatio
   #answers = new AnswerTimes()
   #facts: TargetFacts | undefined
   /** Whether no run started by an earlier incarnation of the agent is left at the target. */
@@ -73,12 +73,12 @@
   #refusals = 0
   #deregistered = false
   /** New incarnation that has announced itself, and when the current one was polled to check whether it is still there. */
-  #successor: { announcement: Announcement, askedAt: number } | undefined
+  #announcedIncarnation: { announcement: Announcement, askedAt: number } | undefined
 
   constructor (context: AgentContext, held: HeldTasks) {
     this.#context = context
     this.#held = held
-    this.#pace = new TargetSpeedRatio(context.policy)
+    this.#speedRatio = new TargetSpeedRatio(context.policy)
     this.#lease = new TargetLease(context.timings)
     this.grants = new LeaseGrants({
       context,
@@ -128,7 +128,7 @@
   }
 
   get pace (): TargetSpeedRatio {
-    return this.#pace
+    return this.#speedRatio
   }
 
   /** Whether `instance` is the current incarnation of the target. */
@@ -171,21 +171,21 @@
    * announcement may come from an earlier incarnation. Accepting it at once would end all tasks here, which then run twice.
    */
   verifyIncarnation (announcement: Announcement, now: number): void {
-    this.#successor = { announcement, askedAt: now }
+    this.#announcedIncarnation = { announcement, askedAt: now }
     this.#context.note('another life of the target announced itself', { instance: announcement.facts.instance, current: this.#facts?.instance })
     this.poll(undefined, 0, now)
   }
 
   /** Returns and clears the announcement of a new incarnation, if there is one. */
   takeNewIncarnation (): Announcement | undefined {
-    const newIncarnation = this.#successor?.announcement
-    this.#successor = undefined
+    const newIncarnation = this.#announcedIncarnation?.announcement
+    this.#announcedIncarnation = undefined
     return newIncarnation
   }
 
   /** Whether a new incarnation has announced itself while the current one did not respond until all its tasks had expired. */
   get superseded (): boolean {
-    return this.#successor !== undefined && this.#lease.silent && this.#held.size === 0
+    return this.#announcedIncarnation !== undefined && this.#lease.silent && this.#held.size === 0
   }
 
   /** Whether the target is offered no work: it refuses connections, does not respond for longer than a few lost polls explain, or its lease has to expire. */
@@ -231,7 +231,7 @@
     this.#inheritLease()
     this.#lastAnsweredPollAt = Number.NEGATIVE_INFINITY
     this.#lastPollAt = Number.NEGATIVE_INFINITY
-    this.#pace = new TargetSpeedRatio(this.#context.policy)
+    this.#speedRatio = new TargetSpeedRatio(this.#context.policy)
     this.#answers = new AnswerTimes()
     if (clock !== undefined) this.#lease.noteClock(clock, now)
     this.#notice = new TargetNotice(this.#context.drain)
@@ -329,7 +329,7 @@
   answered ({ instance, sent, clock }: Extract<AgentEvent, { type: 'polled' }>, now: number): void {
     this.#unansweredPolls.delete(sent)
     this.#lastAnsweredPollAt = Math.max(this.#lastAnsweredPollAt, sent)
-    if (this.#successor !== undefined && sent >= this.#successor.askedAt) this.#successor = undefined
+    if (this.#announcedIncarnation !== undefined && sent >= this.#announcedIncarnation.askedAt) this.#announcedIncarnation = undefined
     if (this.#lease.silent) this.#context.note('target answers again', { instance })
     this.#refusals = 0
     this.#lease.noteAnswer(clock, now)
--- a/packages/dispatch/src/taskplacer.ts
+++ b/packages/dispatch/src/taskplacer.ts
@@ -184,15 +184,15 @@
   }
 
   at (step: number, agent: string): number {
-    return this.#of(step).get(agent) ?? 0
+    return this.#countsOf(step).get(agent) ?? 0
   }
 
   add (step: number, agent: string): void {
-    const counts = this.#of(step)
+    const counts = this.#countsOf(step)
     counts.set(agent, (counts.get(agent) ?? 0) + 1)
   }
 
-  #of (step: number): Map<string, number> {
+  #countsOf (step: number): Map<string, number> {
     let counts = this.#steps.get(step)
     if (counts === undefined) {
       counts = new Map()
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -57,13 +57,13 @@
 type StartHandlers = Record<StartAnswer, (held: HeldTask, now: number) => void>
 
 export class TaskRuns {
-  readonly #parts: TaskRunsDependencies
+  readonly #dependencies: TaskRunsDependencies
   readonly #context: AgentContext
   readonly #held: HeldTasks
   readonly #target: TargetWatch
   readonly ends = new RunEnds()
   /** Orphaned runs that the last poll listed, with the time when each was first listed. */
-  #strays = new Map<string, number>()
+  #orphanedRuns = new Map<string, number>()
 
   readonly #startAnswers: StartHandlers = {
     [StartAnswer.Started]: (held, now) => this.#confirmed(held, now),
@@ -73,16 +73,16 @@
     [StartAnswer.Full]: (held, now) => this.#notStarted(held, Cause.Full, now),
     [StartAnswer.Unhealthy]: (held, now) => this.#notStarted(held, Cause.Unhealthy, now),
     [StartAnswer.Rejected]: (held, now) => this.#notStarted(held, Cause.Rejected, now),
-    [StartAnswer.OtherInstance]: (_held, now) => this.#parts.targetLost('another instance answers', IncarnationEnd.Replaced, now),
+    [StartAnswer.OtherInstance]: (_held, now) => this.#dependencies.targetLost('another instance answers', IncarnationEnd.Replaced, now),
     [StartAnswer.NoListener]: (held, now) => {
       this.#notStarted(held, Cause.Unreachable, now)
-      this.#parts.connectionRefused(now)
+      this.#dependencies.connectionRefused(now)
     },
     [StartAnswer.Silent]: (held, now) => this.#startUnanswered(held, now)
   }
 
   constructor (dependencies: TaskRunsDependencies) {
-    this.#parts = dependencies
+    this.#dependencies = dependencies
     this.#context = dependencies.context
     this.#held = dependencies.held
     this.#target = dependencies.target
@@ -93,9 +93,9 @@
   startOrdered (session: EntrySession, order: TaskOrder, payload: string, now: number): void {
     const held = this.#held.get(order.task)
     if (held?.session === session && held.order.attempt === order.attempt) return
-    const refusal = held === undefined ? this.#parts.refusalCause(order, now) : Cause.Rejected
+    const refusal = held === undefined ? this.#dependencies.refusalCause(order, now) : Cause.Rejected
     if (refusal !== Cause.None) return this.#refuse(session, order, refusal, now)
-    if (this.#parts.isBlocked(order.task, now)) return this.#refuse(session, order, Cause.Crashed, now)
+    if (this.#dependencies.isBlocked(order.task, now)) return this.#refuse(session, order, Cause.Crashed, now)
     if (!this.#fits(order, now)) return this.#refuse(session, order, Cause.Full, now)
     this.#start(this.#held.add(order, payload, session, now), now)
   }
@@ -111,7 +111,7 @@
 
   #fits (order: TaskOrder, now: number): boolean {
     if (this.#held.reserved || (order.isolation !== undefined && this.#held.suspected)) return false
-    return this.#parts.room.fits(order.needs, now)
+    return this.#dependencies.room.fits(order.needs, now)
   }
 
   #start (held: HeldTask, now: number): void {
@@ -123,7 +123,7 @@
   }
 
   #refuse (session: EntrySession, order: TaskOrder, cause: Cause, now: number): void {
-    this.#parts.tell(session, { task: order.task, attempt: order.attempt, outcome: Outcome.NotStarted, cause, ran: 0 }, now)
+    this.#dependencies.tell(session, { task: order.task, attempt: order.attempt, outcome: Outcome.NotStarted, cause, ran: 0 }, now)
   }
 
   #confirmed (held: HeldTask, now: number): void {
@@ -146,9 +146,9 @@
     if (held.stage === Stage.Stopping) return this.#finish(held, { outcome: Outcome.Gone, cause: Cause.Stopped, evidence: EndEvidence.StartRefused }, now)
     held.oldRunRefusals += 1
     if (held.oldRunRefusals > MAX_OLD_RUN_REFUSALS) return this.#notStarted(held, Cause.Rejected, now)
-    const refusal = this.#parts.refusalCause(held.order, now)
+    const refusal = this.#dependencies.refusalCause(held.order, now)
     if (refusal !== Cause.None) return this.#notStarted(held, refusal, now)
-    if (!this.#parts.room.holds(now)) return this.#notStarted(held, Cause.Full, now)
+    if (!this.#dependencies.room.holds(now)) return this.#notStarted(held, Cause.Full, now)
     held.run += RUN_NUMBER_STEP * held.oldRunRefusals
     this.#held.noteRun(held)
     this.#start(held, now)
@@ -214,10 +214,10 @@
       if (held !== undefined && held.run === run) this.#runs(held, percent, now)
       else orphaned.set(runKey(task, run), this.#stopOrphanedRun(task, run, now))
     }
-    this.#strays = orphaned
+    this.#orphanedRuns = orphaned
     this.#held.hasOrphanedRuns = orphaned.size > 0
     this.#held.orphanedRunPersists = [...orphaned.values()].some(since => now - since >= ORPHANED_RUN_MILLISECONDS)
-    this.#parts.room.notePoll(runs, sent, now)
+    this.#dependencies.room.notePoll(runs, sent, now)
     if (ended.length < MAX_ENDS_PER_POLL) {
       for (const held of this.#held.all()) if (!runs.has(runKey(held.order.task, held.run))) this.#noteMissing(held, sent, now)
     }
@@ -226,7 +226,7 @@
 
   #runEnded ({ number, task, run, end }: EndedRun, now: number): void {
     this.#target.acknowledge(number)
-    this.#parts.room.noteEnded(task, run)
+    this.#dependencies.room.noteEnded(task, run)
     const held = this.#held.get(task)
     if (held === undefined || held.run !== run) return
     if (end === RunEnd.Done) this.#target.pace.observe(held, WHOLE_PERCENT, now)
@@ -247,8 +247,8 @@
    * ended. Returns the time since when it is listed.
    */
   #stopOrphanedRun (task: string, run: number, now: number): number {
-    this.#parts.room.noteOrphanedRun(task, run, now)
-    const since = this.#strays.get(runKey(task, run))
+    this.#dependencies.room.noteOrphanedRun(task, run, now)
+    const since = this.#orphanedRuns.get(runKey(task, run))
     if (since === undefined) {
       this.ends.noteOrphanedRun()
       this.#context.note('stray run stopped', { task, run, instance: this.#target.callIdentity().instance })
@@ -265,7 +265,7 @@
     if (held.stage !== Stage.Stopping || held.stopConfirmedAt === undefined) return
     // A run that was never confirmed has not begun, and the stop keeps it from starting later.
     if (held.confirmedAt === undefined && sent >= held.stopConfirmedAt) {
-      this.#parts.room.noteStopped(held)
+      this.#dependencies.room.noteStopped(held)
       return this.#finish(held, { outcome: Outcome.Gone, cause: Cause.Unanswered, evidence: EndEvidence.Missing }, now)
     }
     if (sent > held.stopConfirmedAt + this.#context.stop) this.#finish(held, { outcome: Outcome.Gone, cause: Cause.Stopped, evidence: EndEvidence.Missing }, now)
@@ -279,7 +279,7 @@
       if (remaining === undefined) continue
       held.reportedSlowAt = now
       const { task, attempt } = held.order
-      this.#parts.sendSlow(held.session, { task, attempt, remaining })
+      this.#dependencies.sendSlow(held.session, { task, attempt, remaining })
     }
   }
 
@@ -318,9 +318,9 @@
   #finish (held: HeldTask, { outcome, cause, evidence }: RunEnding, now: number): void {
     this.#held.remove(held)
     this.ends.note(evidence)
-    this.#parts.room.noteReleased(held)
+    this.#dependencies.room.noteReleased(held)
     const { task, attempt } = held.order
     if (outcome !== Outcome.Done) this.#context.note('task ended', { task, attempt, run: held.run, outcome, cause, evidence, instance: this.#target.callIdentity().instance, entry: held.session.entry, age: Math.round(now - held.startedAt), leaseLeft: Math.round(this.#target.grants.expiresAt(held) - now) })
-    this.#parts.tell(held.session, { task, attempt, outcome, cause, ran: Math.max(0, now - held.startedAt) }, now)
+    this.#dependencies.tell(held.session, { task, attempt, outcome, cause, ran: Math.max(0, now - held.startedAt) }, now)
   }
 }
