--- a/packages/coordination/src/jobs.ts
+++ b/packages/coordination/src/jobs.ts
@@ -32,7 +32,7 @@
   readonly #refusals: Refusals
   readonly #deadlines = new IndexedHeap<Execution>()
   readonly #dispatching: Dispatching
-  readonly #secondMemory: BackupReceipts
+  readonly #backupReceipts: BackupReceipts
   #open = 0
   #refusalLoggedAt = Number.NEGATIVE_INFINITY
   #unloggedRefusals = 0
@@ -45,7 +45,7 @@
     this.#answered = new AnsweredJobs({ retention, answerBytes: context.limits.answerBytes })
     this.#refusals = new Refusals(retention)
     this.#dispatching = new Dispatching(context, scheduler)
-    this.#secondMemory = new BackupReceipts(context, (execution, now) => this.#dispatching.enqueue(execution, now))
+    this.#backupReceipts = new BackupReceipts(context, (execution, now) => this.#dispatching.enqueue(execution, now))
   }
 
   get open (): number {
@@ -89,7 +89,7 @@
     execution.begin(job, now)
     execution.attach(from)
     this.#deadlines.set(execution, execution.deadline)
-    this.#secondMemory.ensure(execution, from, now)
+    this.#backupReceipts.ensure(execution, from, now)
   }
 
   /** Logs a refusal, with the count of those not logged. Under overload most refusals are only counted. */
@@ -186,7 +186,7 @@
 
   /** Handles a backup's confirmation of a receipt, after which the first dispatch may be sent. */
   receiptKept (job: JobKey, backup: Instance, now: number): void {
-    this.#secondMemory.confirmed(this.#held.get(job), backup, now)
+    this.#backupReceipts.confirmed(this.#held.get(job), backup, now)
   }
 
   /**
@@ -194,12 +194,12 @@
    * sent.
    */
   peerConnected (peer: Instance, now: number): void {
-    this.#secondMemory.peerConnected(this.#held.values(), peer, now)
+    this.#backupReceipts.peerConnected(this.#held.values(), peer, now)
   }
 
   /** Handles the loss of a peer: receipts that it should have kept are sent to the next one. */
   peerLost (peer: Instance, now: number): void {
-    this.#secondMemory.peerLost(this.#held.values(), peer, now)
+    this.#backupReceipts.peerLost(this.#held.values(), peer, now)
   }
 
   result (agent: Instance, result: TaskResult, now: number): void {
@@ -264,7 +264,7 @@
       return
     }
     this.#dispatching.claimOutstanding(execution, now)
-    this.#secondMemory.ensure(execution, execution.attached[0], now)
+    this.#backupReceipts.ensure(execution, execution.attached[0], now)
   }
 
   #finishWith (execution: Execution, answer: Answer | undefined, now: number): void {
--- a/packages/coordination/src/router.ts
+++ b/packages/coordination/src/router.ts
@@ -59,8 +59,8 @@
   readonly #ready: () => boolean
   readonly #inForce: (now: number) => boolean
   readonly #holders: Holders
-  readonly #taking: JobIntake
-  readonly #questions: JobQueries
+  readonly #intake: JobIntake
+  readonly #queries: JobQueries
   readonly #waiting = new Map<JobKey, WaitingJob>()
   #nextSubmission = 1
 
@@ -72,12 +72,12 @@
     this.#ready = dependencies.ready
     this.#inForce = dependencies.inForce
     this.#holders = new Holders(dependencies.context, dependencies.jobs, dependencies.receipts)
-    this.#taking = this.#createTaking(dependencies)
-    this.#questions = this.#createQuestions(dependencies)
+    this.#intake = this.#createIntake(dependencies)
+    this.#queries = this.#createQueries(dependencies)
   }
 
   get waiting (): number {
-    return this.#waiting.size + this.#questions.size
+    return this.#waiting.size + this.#queries.size
   }
 
   submit (request: string, job: Job, now: number): void {
@@ -108,12 +108,12 @@
 
   /** Handles a job that another entry forwarded to this one. */
   forwarded (job: Job, from: Attachment, now: number): void {
-    this.#taking.submit(job, from, now)
+    this.#intake.submit(job, from, now)
   }
 
   /** Handles an answer, from this entry or another, to a request of this entry. */
   answered (peer: Instance, job: JobKey, submission: string, answer: Answer): void {
-    if (this.#questions.answered(submission, answer)) return
+    if (this.#queries.answered(submission, answer)) return
     const waiting = this.#waiting.get(job)
     if (waiting?.submission !== submission) return
     waiting.unresolved.delete(peer)
@@ -122,7 +122,7 @@
 
   /** Handles a redirect: another entry names the holder of the job. */
   redirected (peer: Instance, job: JobKey, submission: string, holder: Instance, now: number): void {
-    if (this.#questions.redirected(submission, holder)) return
+    if (this.#queries.redirected(submission, holder)) return
     const waiting = this.#waiting.get(job)
     if (waiting?.submission !== submission || waiting.sentTo !== peer) return
     waiting.unresolved.delete(peer)
@@ -172,16 +172,16 @@
 
   /** Retries the jobs that could not be accepted or forwarded yet. */
   retryParked (now: number): void {
-    this.#taking.retryParked(now)
+    this.#intake.retryParked(now)
   }
 
   tick (now: number): void {
     this.retryParked(now)
     for (const waiting of this.#waiting.values()) {
-      if (now >= waiting.deadline + this.#context.timings.answerGrace) this.#giveUp(waiting)
+      if (now >= waiting.deadline + this.#context.timings.answerGrace) this.#timeOut(waiting)
       else if (waiting.sentTo === undefined && now >= waiting.rerouteAt) this.#route(waiting, now)
     }
-    this.#questions.tick(now)
+    this.#queries.tick(now)
   }
 
   /**
@@ -193,34 +193,34 @@
     const answer = answerWithoutResults(AnswerKind.MayHaveRun, Cause.EntryLost, detail, NOT_READY_RETRY_MILLISECONDS)
     for (const waiting of this.#waiting.values()) this.#answerAll(waiting, answer)
     this.#waiting.clear()
-    this.#questions.stopped(answer)
-    this.#taking.stopped()
+    this.#queries.stopped(answer)
+    this.#intake.stopped()
   }
 
   cancel (request: string, job: JobKey, now: number): void {
-    this.#questions.cancel(request, job, now)
+    this.#queries.cancel(request, job, now)
   }
 
   lookUp (request: string, job: JobKey, now: number): void {
-    this.#questions.lookUp(request, job, now)
+    this.#queries.lookUp(request, job, now)
   }
 
   /** Handles a cancellation forwarded by another entry. */
   cancelFor (from: Attachment, job: JobKey, now: number): void {
-    this.#questions.cancelFor(from, job, now)
+    this.#queries.cancelFor(from, job, now)
   }
 
   /** Handles a look-up forwarded by another entry. */
   lookUpFor (from: Attachment, job: JobKey): void {
-    this.#questions.lookUpFor(from, job)
+    this.#queries.lookUpFor(from, job)
   }
 
   /** Handles another entry's result of a look-up from this entry. */
   lookedUp (submission: string, job: JobKey, state: JobState, answer: Answer | undefined): void {
-    this.#questions.lookedUp({ entry: this.#context.instance, submission }, job, state, answer)
+    this.#queries.lookedUp({ entry: this.#context.instance, submission }, job, state, answer)
   }
 
-  #createTaking (dependencies: RouterDependencies): JobIntake {
+  #createIntake (dependencies: RouterDependencies): JobIntake {
     const { context, jobs, receipts, takeover, horizon, ready, settling } = dependencies
     return new JobIntake({
       context,
@@ -237,7 +237,7 @@
     })
   }
 
-  #createQuestions ({ context, jobs, ready }: RouterDependencies): JobQueries {
+  #createQueries ({ context, jobs, ready }: RouterDependencies): JobQueries {
     return new JobQueries({
       context,
       jobs,
@@ -268,7 +268,7 @@
     }
     waiting.sentTo = this.#context.instance
     const job = { ...waiting.job, remainingMilliseconds: waiting.deadline - now }
-    this.#taking.submit(job, { entry: this.#context.instance, submission: waiting.submission }, now)
+    this.#intake.submit(job, { entry: this.#context.instance, submission: waiting.submission }, now)
   }
 
   /**
@@ -340,7 +340,7 @@
     for (const request of waiting.requests) this.#context.emit({ type: 'answer', request, answer })
   }
 
-  #giveUp (waiting: WaitingJob): void {
+  #timeOut (waiting: WaitingJob): void {
     this.#waiting.delete(waiting.job.key)
     this.#answerAll(waiting, ownerUnreachable())
   }
--- a/packages/dispatch/test/agent.test.ts
+++ b/packages/dispatch/test/agent.test.ts
@@ -6,7 +6,7 @@
 test('a task is started with the lease as its deadline', () => {
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
-  const [start] = bench.of('start')
+  const [start] = bench.effectsOfType('start')
   expect(start?.deadline).toEqual(bench.now + TIMINGS.lease)
   expect(start?.instance).toEqual(TARGET.instance)
 })
@@ -34,13 +34,13 @@
   bench.run('job.0.0')
   bench.polled([], [{ number: 7, task: 'job.0.0', run: 1, end: RunEnd.Done }])
   bench.run('job.0.1')
-  expect(bench.of('poll').at(-1)?.acknowledged).toEqual(7)
+  expect(bench.effectsOfType('poll').at(-1)?.acknowledged).toEqual(7)
 })
 
 test('a task that does not fit beside the running ones is refused as full', () => {
   const bench = AgentBench.ready()
   bench.start([order('a.0.0', 1, 5000), order('a.0.1', 1, 5000)])
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
   expect(bench.ends()).toEqual(['a.0.1 notStarted full'])
 })
 
@@ -51,12 +51,12 @@
   bench.start([order('job.0.0')])
   bench.startAnswered('job.0.0', StartAnswer.Silent)
   expect(bench.ends()).toEqual([])
-  expect(bench.of('stop').map(({ task, run }) => [task, run])).toEqual([['job.0.0', 1]])
+  expect(bench.effectsOfType('stop').map(({ task, run }) => [task, run])).toEqual([['job.0.0', 1]])
   bench.polled()
   expect(bench.ends()).toEqual([])
   bench.now += 5
   bench.do({ type: 'stopAnswered', instance: TARGET.instance, task: 'job.0.0', run: 1, answered: true })
-  expect(bench.of('poll').at(-1)?.wait).toEqual(0)
+  expect(bench.effectsOfType('poll').at(-1)?.wait).toEqual(0)
   expect(bench.ends()).toEqual([])
   bench.polled()
   expect(bench.ends()).toEqual(['job.0.0 gone unanswered'])
@@ -83,7 +83,7 @@
   bench.start([order('job.0.0')])
   bench.polled([{ task: 'job.0.0', run: 1, percent: 3 }])
   bench.startAnswered('job.0.0', StartAnswer.Silent)
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
   expect(bench.ends()).toEqual([])
 })
 
@@ -92,8 +92,8 @@
   bench.start([order('job.0.0')])
   bench.startAnswered('job.0.0', StartAnswer.Silent)
   bench.echo()
-  bench.pass(250)
-  expect(bench.of('stop').length).toBeGreaterThanOrEqual(3)
+  bench.advance(250)
+  expect(bench.effectsOfType('stop').length).toBeGreaterThanOrEqual(3)
 })
 
 // The worker answers polls, but three stops of one run are lost. The lease is then left to expire, so that
@@ -104,12 +104,12 @@
   bench.do({ type: 'entryMessage', entry: ENTRY, message: { type: 'stop', tasks: [{ task: 'job.0.0', attempt: 1 }] } })
   for (let round = 0; round < 8; round += 1) {
     bench.echo()
-    bench.pass(50)
+    bench.advance(50)
     bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
   }
   bench.take()
   bench.polled([{ task: 'job.0.0', run: 1, percent: 11 }])
-  expect(bench.of('poll').map(({ deadline }) => deadline)).toEqual([undefined])
+  expect(bench.effectsOfType('poll').map(({ deadline }) => deadline)).toEqual([undefined])
 })
 
 // The entry is killed or frozen, or its link fails. Its caller submits the job again through another
@@ -117,22 +117,22 @@
 test('tasks of an entry that echoes no ping are stopped when the contact ends', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
-  bench.pass(TIMINGS.contact - 60)
+  bench.advance(TIMINGS.contact - 60)
   bench.polled([{ task: 'job.0.0', run: 1, percent: 40 }])
-  expect(bench.of('stop')).toEqual([])
-  bench.pass(120)
-  expect(bench.of('stop').map(({ task }) => task)).toEqual(['job.0.0'])
+  expect(bench.effectsOfType('stop')).toEqual([])
+  bench.advance(120)
+  expect(bench.effectsOfType('stop').map(({ task }) => task)).toEqual(['job.0.0'])
 })
 
 test('tasks continue while pings are echoed', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   for (let round = 0; round < 20; round += 1) {
-    bench.pass(100)
+    bench.advance(100)
     bench.echo()
     bench.polled([{ task: 'job.0.0', run: 1, percent: round }])
   }
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
   expect(bench.ends()).toEqual([])
 })
 
@@ -141,12 +141,12 @@
 test('a delayed echo does not renew the contact', () => {
   const bench = AgentBench.ready()
   const pinged = bench.now
-  bench.pass(TIMINGS.contact + 500)
+  bench.advance(TIMINGS.contact + 500)
   bench.echo(pinged)
   bench.take()
   bench.start([order('job.0.0')])
-  expect(bench.of('start')).toEqual([])
-  expect(bench.of('unlink').length).toEqual(1)
+  expect(bench.effectsOfType('start')).toEqual([])
+  expect(bench.effectsOfType('unlink').length).toEqual(1)
 })
 
 // The agent is frozen by SIGSTOP with a start in its queue and continues seconds later, when the entry
@@ -155,7 +155,7 @@
   const bench = AgentBench.ready()
   bench.now += 4000
   bench.start([order('job.0.0')])
-  expect(bench.of('start')).toEqual([])
+  expect(bench.effectsOfType('start')).toEqual([])
 })
 
 // The steady clock stands still while the machine is suspended, so the queued echo of a ping sent just
@@ -166,14 +166,14 @@
   const pinged = bench.now
   bench.now += 10
   bench.do({ type: 'woke', asleep: 5000 })
-  expect(bench.of('stop').length).toEqual(1)
+  expect(bench.effectsOfType('stop').length).toEqual(1)
   bench.echo(pinged)
   bench.start([order('job.0.1')])
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
   bench.echo()
   bench.link()
   bench.start([order('job.0.2')])
-  expect(bench.of('start').length).toEqual(2)
+  expect(bench.effectsOfType('start').length).toEqual(2)
 })
 
 test('an expired lease ends every task', () => {
@@ -196,10 +196,10 @@
   bench.run('job.0.0')
   bench.pollFailed(PollFailure.Silent)
   bench.take()
-  bench.pass(50)
-  expect(bench.of('poll').map(({ deadline }) => deadline)).toEqual([undefined])
+  bench.advance(50)
+  expect(bench.effectsOfType('poll').map(({ deadline }) => deadline)).toEqual([undefined])
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
-  expect(bench.of('poll').at(-1)?.deadline).toEqual(bench.now + TIMINGS.lease)
+  expect(bench.effectsOfType('poll').at(-1)?.deadline).toEqual(bench.now + TIMINGS.lease)
 })
 
 test('no task starts at a target that does not answer', () => {
@@ -239,7 +239,7 @@
   bench.seen()
   bench.link()
   bench.polled([{ task: 'old.0.0', run: 3, percent: 50 }])
-  expect(bench.of('stop').map(({ task, run }) => [task, run])).toEqual([['old.0.0', 3]])
+  expect(bench.effectsOfType('stop').map(({ task, run }) => [task, run])).toEqual([['old.0.0', 3]])
   expect(bench.sent('announce').every(message => message.type === 'announce' && message.target === undefined)).toEqual(true)
   bench.start([order('new.0.0')])
   expect(bench.ends()).toEqual(['new.0.0 notStarted noTarget'])
@@ -252,17 +252,17 @@
 test('the token is raised above that of an earlier incarnation whose clock was ahead', () => {
   const bench = new AgentBench(1000)
   bench.seen()
-  const before = bench.of('poll').at(-1)?.token ?? 0
+  const before = bench.effectsOfType('poll').at(-1)?.token ?? 0
   bench.pollFailed(PollFailure.Fenced)
-  bench.pass(50)
-  expect(bench.of('poll').at(-1)?.token ?? 0).toBeGreaterThan(before)
+  bench.advance(50)
+  expect(bench.effectsOfType('poll').at(-1)?.token ?? 0).toBeGreaterThan(before)
 })
 
 test('a run number that the target refuses as old is raised', () => {
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
   bench.startAnswered('job.0.0', StartAnswer.OldRun)
-  expect(bench.of('start').map(({ run }) => run)).toEqual([1, 9])
+  expect(bench.effectsOfType('start').map(({ run }) => run)).toEqual([1, 9])
 })
 
 // Guards against counting refusals as old as lost stops: then the first stop would block the renewal of the lease for all tasks.
@@ -284,7 +284,7 @@
   bench.start([order('job.0.0')])
   bench.do({ type: 'entryMessage', entry: ENTRY, message: { type: 'stop', tasks: [{ task: 'job.0.0', attempt: 1 }] } })
   bench.startAnswered('job.0.0', StartAnswer.OldRun)
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
   expect(bench.ends()).toEqual(['job.0.0 gone stopped'])
 })
 
@@ -295,7 +295,7 @@
   bench.seen()
   bench.polled()
   bench.do({ type: 'entryLinked', entry: ENTRY })
-  expect(bench.of('send').map(({ message }) => message.type)).toEqual(['ping', 'announce'])
+  expect(bench.effectsOfType('send').map(({ message }) => message.type)).toEqual(['ping', 'announce'])
 })
 
 test('ends that the entry has not acknowledged are repeated on a new link', () => {
@@ -317,9 +317,9 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   bench.do({ type: 'entryUnlinked', entry: ENTRY })
-  bench.pass(100)
+  bench.advance(100)
   bench.link()
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
   const announced = bench.sent('announce').at(-1)
   expect(announced?.type === 'announce' && announced.held).toEqual([{ task: 'job.0.0', attempt: 1 }])
 })
@@ -328,7 +328,7 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   bench.link('entry-1#b')
-  expect(bench.of('stop').map(({ task }) => task)).toEqual(['job.0.0'])
+  expect(bench.effectsOfType('stop').map(({ task }) => task)).toEqual(['job.0.0'])
 })
 
 test('a leaving target takes no new tasks and finishes those that run', () => {
@@ -337,7 +337,7 @@
   bench.seen({ leaving: true })
   bench.start([order('job.0.1')])
   expect(bench.ends()).toEqual(['job.0.1 notStarted leaving'])
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
 })
 
 test('an agent that is ordered to stop ends when its tasks have ended', () => {
@@ -345,11 +345,11 @@
   bench.run('job.0.0')
   bench.do({ type: 'stopOrdered' })
   bench.echo()
-  bench.pass(50)
-  expect(bench.of('stopped')).toEqual([])
+  bench.advance(50)
+  expect(bench.effectsOfType('stopped')).toEqual([])
   bench.polled([], [{ number: 1, task: 'job.0.0', run: 1, end: RunEnd.Done }])
-  bench.pass(50)
-  expect(bench.of('stopped').length).toBeGreaterThanOrEqual(1)
+  bench.advance(50)
+  expect(bench.effectsOfType('stopped').length).toBeGreaterThanOrEqual(1)
 })
 
 // The tasks of a target make no progress while it answers all calls normally.
@@ -357,7 +357,7 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   for (let round = 0; round < 6; round += 1) {
-    bench.pass(100)
+    bench.advance(100)
     bench.echo()
     bench.polled([{ task: 'job.0.0', run: 1, percent: 2 }])
   }
@@ -371,7 +371,7 @@
   const bench = AgentBench.ready()
   bench.start([order('long.0.0'), order('short.0.0')])
   for (let round = 1; round <= 9; round += 1) {
-    bench.pass(100)
+    bench.advance(100)
     bench.echo()
     const short = `short.0.${Math.floor((round - 1) / 3)}`
     const third = (round - 1) % 3 + 1
@@ -390,7 +390,7 @@
   const bench = AgentBench.ready()
   bench.start([order('a.0.0'), order('a.0.1'), order('a.0.2')])
   for (let round = 1; round <= 8; round += 1) {
-    bench.pass(100)
+    bench.advance(100)
     bench.echo()
     bench.polled(['a.0.0', 'a.0.1', 'a.0.2'].map(task => ({ task, run: 1, percent: round * 4 })))
   }
--- a/packages/dispatch/test/agentbench.ts
+++ b/packages/dispatch/test/agentbench.ts
@@ -55,7 +55,7 @@
   }
 
   /** Advances the clock and sends the agent a tick every 50 ms. */
-  pass (milliseconds: number): void {
+  advance (milliseconds: number): void {
     const end = this.now + milliseconds
     while (this.now < end) {
       this.now = Math.min(end, this.now + 50)
@@ -107,17 +107,17 @@
     return effects
   }
 
-  of<Type extends AgentEffect['type']> (type: Type): Array<EffectOf<Type>> {
+  effectsOfType<Type extends AgentEffect['type']> (type: Type): Array<EffectOf<Type>> {
     return this.#effects.filter((effect): effect is EffectOf<Type> => effect.type === type)
   }
 
   sent (type: AgentMessage['type']): AgentMessage[] {
-    return this.of('send').map(({ message }) => message).filter(message => message.type === type)
+    return this.effectsOfType('send').map(({ message }) => message).filter(message => message.type === type)
   }
 
   /** Ends sent to entries since the last `take`: task, outcome and cause. */
   ends (): string[] {
-    return this.of('send').flatMap(({ message }) => message.type === 'ends' ? message.ends : [])
+    return this.effectsOfType('send').flatMap(({ message }) => message.type === 'ends' ? message.ends : [])
       .map(({ task, outcome, cause }) => `${task} ${outcome}${cause === '' ? '' : ` ${cause}`}`)
   }
 }
--- a/packages/dispatch/test/answertimes.test.ts
+++ b/packages/dispatch/test/answertimes.test.ts
@@ -40,8 +40,8 @@
     bench.startAnswered(`job.0.${index}`)
   }
   bench.start([order('job.0.99', 1, 100)])
-  expect(bench.of('start').at(0)?.timeout).toEqual(120)
-  expect(bench.of('start').at(-1)?.timeout).toEqual(25)
+  expect(bench.effectsOfType('start').at(0)?.timeout).toEqual(120)
+  expect(bench.effectsOfType('start').at(-1)?.timeout).toEqual(25)
 })
 
 // A lost poll hides all ends at the target for 200 ms, which makes jobs late whose last task has ended there.
@@ -49,19 +49,19 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
-  expect(bench.of('poll').at(-1)?.wait).toEqual(120)
+  expect(bench.effectsOfType('poll').at(-1)?.wait).toEqual(120)
   bench.pollFailed(PollFailure.Silent)
   bench.now += 30
   bench.do({ type: 'tick' })
   bench.polled([{ task: 'job.0.0', run: 1, percent: 20 }])
-  expect(bench.of('poll').at(-1)?.wait).toEqual(60)
+  expect(bench.effectsOfType('poll').at(-1)?.wait).toEqual(60)
   bench.now += 2500
   bench.echo()
   bench.polled([], [{ number: 1, task: 'job.0.0', run: 1, end: RunEnd.Done }])
   bench.start([order('job.0.1')])
   bench.startAnswered('job.0.1', StartAnswer.Started)
   bench.polled([{ task: 'job.0.1', run: 1, percent: 1 }])
-  expect(bench.of('poll').at(-1)?.wait).toEqual(120)
+  expect(bench.effectsOfType('poll').at(-1)?.wait).toEqual(120)
 })
 
 // A start is lost, and so is the stop that cancels it. If the stop is repeated only with the next tick, up to 50 ms later, the
@@ -73,7 +73,7 @@
   bench.startAnswered('job.0.0', StartAnswer.Silent)
   bench.now += 100
   bench.do({ type: 'stopAnswered', instance: TARGET.instance, task: 'job.0.0', run: 1, answered: false })
-  expect(bench.of('stop').length).toEqual(2)
+  expect(bench.effectsOfType('stop').length).toEqual(2)
 })
 
 // While answers are lost, a second poll overlaps the first, so that an end is hidden only if both are lost.
@@ -88,16 +88,16 @@
   bench.take()
   bench.now += 20
   bench.do({ type: 'tick' })
-  expect(bench.of('poll').length).toEqual(0)
+  expect(bench.effectsOfType('poll').length).toEqual(0)
   bench.now += 15
   bench.do({ type: 'tick' })
-  expect(bench.of('poll').length).toEqual(1)
+  expect(bench.effectsOfType('poll').length).toEqual(1)
 })
 
 test('a target counts as responsive after a lost poll if a later one was answered', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
-  const [first] = bench.of('poll')
+  const [first] = bench.effectsOfType('poll')
   bench.now += 1
   bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
   bench.do({ type: 'pollFailed', instance: TARGET.instance, sent: (first?.sent ?? 0) - 1, failure: PollFailure.Silent })
--- a/packages/dispatch/test/cancellations.test.ts
+++ b/packages/dispatch/test/cancellations.test.ts
@@ -19,7 +19,7 @@
   bench.end('one', 'job.0.0')
   bench.take()
   const again = bench.submit('job')
-  bench.pass(500, ['one'])
+  bench.advance(500, ['one'])
   expect([bench.starts(), bench.answers()]).toEqual([[], [[again, 'cancelled cancelled']]])
 })
 
@@ -61,7 +61,7 @@
   bench.peer('first')
   bench.take()
   cancel(bench, 'job')
-  bench.pass(200, ['one'])
+  bench.advance(200, ['one'])
   bench.do({ type: 'peerLinked', peer: 'second' })
   const cancels = (peer: string): unknown[] => bench.told(peer).filter(({ type }) => type === 'cancel')
   expect(cancels('first')).toEqual([{ type: 'cancel', jobs: [{ job: 'job', ago: 0 }] }])
@@ -80,7 +80,7 @@
   const bench = EntryBench.withAgents('one')
   for (let number = 0; number <= MAX_CANCELLATIONS; number += 1) cancel(bench, `job${number}`)
   expect(bench.entry.status().cancelled).toEqual(MAX_CANCELLATIONS)
-  bench.pass(CANCELLATION_RETENTION_MILLISECONDS)
+  bench.advance(CANCELLATION_RETENTION_MILLISECONDS)
   expect(bench.entry.status().cancelled).toEqual(0)
 })
 
@@ -110,7 +110,7 @@
 }
 
 test('an orphaned run is ordered to stop with each poll', () => {
-  expect(withOrphanedRun(100).of('stop').map(({ task, run }) => [task, run])).toEqual([['stray', 3], ['stray', 3], ['stray', 3]])
+  expect(withOrphanedRun(100).effectsOfType('stop').map(({ task, run }) => [task, run])).toEqual([['stray', 3], ['stray', 3], ['stray', 3]])
 })
 
 // All stops of an orphaned run are lost, and other tasks keep the lease alive.
@@ -120,7 +120,7 @@
   bench.start([order('next')])
   bench.polled([{ task: 'own', run: 1, percent: 9 }, { task: 'stray', run: 3, percent: 0 }])
   expect(bench.ends()).toEqual(['next notStarted unreachable'])
-  expect([bench.of('start').length, bench.of('poll').some(({ deadline }) => deadline !== undefined)]).toEqual([0, false])
+  expect([bench.effectsOfType('start').length, bench.effectsOfType('poll').some(({ deadline }) => deadline !== undefined)]).toEqual([0, false])
 })
 
 // While the lease runs out every start at the target is refused. Offering the target would cost jobs their limited
@@ -142,7 +142,7 @@
   bench.take()
   bench.start([order('next')])
   bench.startAnswered('next', StartAnswer.Started)
-  expect([bench.of('start').length, bench.ends()]).toEqual([1, []])
+  expect([bench.effectsOfType('start').length, bench.ends()]).toEqual([1, []])
 })
 
 // Two runs of one task are listed. If only the last counts, the agent's own run is taken for expired while it runs.
@@ -155,5 +155,5 @@
   bench.take()
   bench.polled([{ task: 'own', run: 1, percent: 10 }, { task: 'own', run: 3, percent: 0 }])
   expect(bench.ends()).toEqual([])
-  expect(bench.of('stop').map(({ task, run }) => [task, run])).toEqual([['own', 3]])
+  expect(bench.effectsOfType('stop').map(({ task, run }) => [task, run])).toEqual([['own', 3]])
 })
--- a/packages/dispatch/test/capacityallocation.test.ts
+++ b/packages/dispatch/test/capacityallocation.test.ts
@@ -13,7 +13,7 @@
 function asking (...agents: string[]): EntryBench {
   const bench = EntryBench.withAgents(...agents)
   bench.peer('chief', 1)
-  bench.pass(SETTLED_MILLISECONDS, agents)
+  bench.advance(SETTLED_MILLISECONDS, agents)
   bench.take()
   return bench
 }
@@ -22,7 +22,7 @@
 function allocating (...agents: string[]): EntryBench {
   const bench = EntryBench.withAgents(...agents)
   bench.peer('other', -1)
-  bench.pass(SETTLED_MILLISECONDS, agents)
+  bench.advance(SETTLED_MILLISECONDS, agents)
   bench.take()
   return bench
 }
@@ -82,7 +82,7 @@
   bench.receive('other', { type: 'release', grants: [{ task: 'first.0.0', agent: 'one' }] })
   expect(grants(bench)).toEqual(['second.0.0 one'])
   bench.take()
-  bench.pass(GRANT_TIMEOUT_MILLISECONDS + 50, ['one'])
+  bench.advance(GRANT_TIMEOUT_MILLISECONDS + 50, ['one'])
   expect(grants(bench)).toEqual(['second.0.1 one'])
 })
 
@@ -129,7 +129,7 @@
 test('a job does not wait for an unresponsive allocator', () => {
   const bench = asking('one')
   bench.submit('job')
-  bench.pass(ALLOCATOR_TIMEOUT_MILLISECONDS + 50, ['one'])
+  bench.advance(ALLOCATOR_TIMEOUT_MILLISECONDS + 50, ['one'])
   expect(bench.starts()).toEqual(['one job.0.0 1'])
 })
 
@@ -143,7 +143,7 @@
 test('an entry that has just started allocates no capacity', () => {
   const bench = EntryBench.withAgents('one')
   bench.peer('other', -1)
-  bench.pass(SETTLING_MILLISECONDS - 100, ['one'])
+  bench.advance(SETTLING_MILLISECONDS - 100, ['one'])
   bench.submit('job')
   expect(messages(bench, 'other', 'ask').length).toEqual(1)
 })
@@ -151,7 +151,7 @@
 test('an entry that stops leaves the allocation to another', () => {
   const bench = allocating('one')
   bench.do({ type: 'stopOrdered' })
-  bench.pass(100, ['one'])
+  bench.advance(100, ['one'])
   expect(messages(bench, 'other', 'member').map(({ able }) => able)).toEqual([false])
 })
 
@@ -162,10 +162,10 @@
   const queue = { ...QUEUE, slackFactor: 1, latency: 100 }
   bench.submit('first', [step(1, { estimated: 100 })], { queue })
   bench.submit('second', [step(1, { estimated: 100 })], { queue })
-  bench.pass(90, ['one'])
+  bench.advance(90, ['one'])
   expect(bench.answers()).toEqual([])
   bench.receive('chief', { type: 'waiting', jobs: ['first', 'second'], crowded: true })
-  bench.pass(20, ['one'])
+  bench.advance(20, ['one'])
   expect(bench.answers().map(([, answer]) => answer)).toEqual(['refused overload', 'refused overload'])
 })
 
@@ -176,7 +176,7 @@
   const names = Array.from({ length: 2 * MIN_GROUP_TARGETS }, (_none, index) => `agent${index}`)
   for (const [index, name] of names.entries()) bench.link(name, { dataCentre: index % 2 === 0 ? 'one' : 'two' })
   bench.peer('far', 1, 'two')
-  bench.pass(SETTLED_MILLISECONDS, names)
+  bench.advance(SETTLED_MILLISECONDS, names)
   return bench
 }
 
@@ -184,7 +184,7 @@
 test('what does not fit in the home group is requested from a group with free capacity', () => {
   const bench = withTwoGroups()
   bench.peer('near', 1)
-  bench.pass(100)
+  bench.advance(100)
   bench.receive('near', { type: 'room', group: 'one', free: 0 })
   bench.receive('far', { type: 'room', group: 'two', free: 100_000 })
   bench.take()
@@ -199,10 +199,10 @@
   const reported = (): number[] => messages(bench, 'far', 'room').map(({ free }) => free)
   expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000])
   bench.submit('small')
-  bench.pass(200)
+  bench.advance(200)
   expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000])
   bench.submit('large', [step(MIN_GROUP_TARGETS)])
-  bench.pass(200)
+  bench.advance(200)
   expect(reported()).toEqual([MIN_GROUP_TARGETS * 8000, MIN_GROUP_TARGETS * 6000 - 2000])
 })
 
@@ -237,7 +237,7 @@
   bench.submit('direct')
   expect(bench.starts().length).toEqual(1)
   for (let number = 0; number < 30; number += 1) {
-    bench.pass(250, ['one', 'two'])
+    bench.advance(250, ['one', 'two'])
     answerAfter(`quick${number}`, 2)
   }
   bench.take()
--- a/packages/dispatch/test/capacitychanges.test.ts
+++ b/packages/dispatch/test/capacitychanges.test.ts
@@ -38,7 +38,7 @@
   bench.run('b')
   bench.take()
   bench.seen(size(1000))
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
   expect(bench.ends()).toEqual([])
 })
 
@@ -59,7 +59,7 @@
   bench.start([order('a')])
   bench.seen(size(2000))
   bench.startAnswered('a')
-  expect(bench.of('stop')).toEqual([])
+  expect(bench.effectsOfType('stop')).toEqual([])
   expect(tryStart(bench, 'b')).toEqual(['b notStarted full'])
 })
 
@@ -71,7 +71,7 @@
   bench.seen(size(1000))
   bench.take()
   bench.startAnswered('a', StartAnswer.OldRun)
-  expect(bench.of('start')).toEqual([])
+  expect(bench.effectsOfType('start')).toEqual([])
   expect(bench.ends()).toEqual(['a notStarted full'])
 })
 
@@ -87,10 +87,10 @@
 // The needs of an unknown run are not known; it may use the whole target.
 test('nothing is started beside an unknown run until it is gone', () => {
   const bench = AgentBench.ready()
-  bench.pass(1000)
+  bench.advance(1000)
   bench.polled(listed('unknown'))
   expect(tryStart(bench, 'a')).toEqual(['a notStarted full'])
-  bench.pass(1000)
+  bench.advance(1000)
   bench.polled()
   expect(tryStart(bench, 'b')).toEqual(['b notStarted full'])
   bench.now += BOUNDS.stop
@@ -103,9 +103,9 @@
   const bench = AgentBench.ready({}, NEW_ID_EACH_INCARNATION)
   bench.seen(size(3000))
   bench.run('a')
-  bench.pass(400)
+  bench.advance(400)
   bench.echo()
-  bench.pass(400)
+  bench.advance(400)
   expect(bench.ends()).toEqual(['a gone lapsed'])
   bench.polled(listed('a'))
   expect(tryStart(bench, 'b')).toEqual(['b notStarted full'])
@@ -137,7 +137,7 @@
 
 /** Processors held by others, as last reported to the entry. */
 function reportedOthers (bench: AgentBench): number | undefined {
-  const last = bench.of('send').map(({ message }) => message).filter(message => 'load' in message).at(-1)
+  const last = bench.effectsOfType('send').map(({ message }) => message).filter(message => 'load' in message).at(-1)
   return last !== undefined && 'load' in last ? last.load.others.cpu : undefined
 }
 
@@ -152,7 +152,7 @@
   bench.polled()
   expect(reportedOthers(bench)).toEqual(2000)
   bench.take()
-  bench.pass(BOUNDS.stop)
+  bench.advance(BOUNDS.stop)
   expect(reportedOthers(bench)).toEqual(0)
 })
 
@@ -172,9 +172,9 @@
 test('the stored target facts are rewritten when the target shrinks, not when it grows', () => {
   const bench = AgentBench.ready()
   bench.seen(size(9000))
-  expect(bench.of('rememberTarget')).toEqual([])
+  expect(bench.effectsOfType('rememberTarget')).toEqual([])
   bench.seen(size(4000))
-  expect(bench.of('rememberTarget').map(({ facts }) => facts.capacity.cpu)).toEqual([4000])
+  expect(bench.effectsOfType('rememberTarget').map(({ facts }) => facts.capacity.cpu)).toEqual([4000])
 })
 
 test('an agent restarted during a shrink applies the stored capacity, then the received one', () => {
@@ -221,9 +221,9 @@
 
 test('another entry that waits for capacity gets a grant when a target grows', () => {
   const bench = EntryBench.withAgents('agent-1')
-  bench.pass(600, ['agent-1'])
+  bench.advance(600, ['agent-1'])
   bench.peer('weaker', -5)
-  bench.pass(100, ['agent-1'])
+  bench.advance(100, ['agent-1'])
   bench.submit('own', [step(4)])
   const ask = { type: 'ask' as const, group: '', service: 'checks', job: 'j', within: 500, waits: true, except: [], steps: [{ ...step(1), index: 0, expected: 300, endBy: 400, tasks: [{ name: 'j.0.0', avoid: '' }], placed: [] }] }
   bench.receive('weaker', ask)
--- a/packages/dispatch/test/crashes.test.ts
+++ b/packages/dispatch/test/crashes.test.ts
@@ -62,7 +62,7 @@
   const request = bench.submit('one')
   crash(bench, 'one.0.0', OTHERS)
   crash(bench, 'one.0.0')
-  bench.pass(400, AGENTS)
+  bench.advance(400, AGENTS)
   expect(bench.answers()).toEqual([[request, 'failed taskCrashes']])
   expect(bench.starts().length).toEqual(2)
   expect(bench.entry.status().convictions).toEqual(1)
@@ -87,7 +87,7 @@
   bench.submit('one')
   crash(bench, 'one.0.0', OTHERS)
   crash(bench, 'one.0.0', OTHERS)
-  bench.pass(400, AGENTS)
+  bench.advance(400, AGENTS)
   expect(bench.answers()).toEqual([])
   expect(isolations(bench)).toEqual([Isolation.None, Isolation.Apart, Isolation.Alone])
 })
@@ -96,7 +96,7 @@
   const bench = entry()
   const request = bench.submit('one')
   for (let crashes = 0; crashes < 3; crashes += 1) crash(bench, 'one.0.0', OTHERS)
-  bench.pass(400, AGENTS)
+  bench.advance(400, AGENTS)
   expect(bench.starts().length).toEqual(3)
   expect(bench.answers()).toEqual([[request, 'failed taskCrashes']])
 })
@@ -106,10 +106,10 @@
   const bench = entry()
   bench.submit('one')
   const first = crash(bench, 'one.0.0')
-  bench.pass(500, AGENTS)
+  bench.advance(500, AGENTS)
   const second = crash(bench, 'one.0.0')
   for (const other of AGENTS.filter(name => name !== first && name !== second).slice(0, 2)) lost(bench, other, [`${other}.0.0`])
-  bench.pass(400, AGENTS)
+  bench.advance(400, AGENTS)
   expect(bench.answers()).toEqual([])
   expect(bench.starts().length).toEqual(3)
 })
@@ -124,9 +124,9 @@
   for (const name of rack) lost(bench, name, [name === agent ? 'one.0.0' : `${name}.0.0`], { evidence: CrashEvidence.Silent })
   loseTarget(bench, agent)
   bench.end(agent, 'one.0.0', Outcome.Gone, Cause.Lapsed, attempt)
-  bench.pass(2000, AGENTS)
+  bench.advance(2000, AGENTS)
   lost(bench, agent, ['one.0.0'], { ago: 2000 })
-  bench.pass(100, AGENTS)
+  bench.advance(100, AGENTS)
   expect(bench.answers()).toEqual([])
 })
 
@@ -151,7 +151,7 @@
   bench.do({ type: 'agentUnlinked', agent })
   bench.link(agent, { incarnation: 'b' })
   crash(bench, 'one.0.0')
-  bench.pass(400, AGENTS)
+  bench.advance(400, AGENTS)
   expect(bench.answers()).toEqual([[request, 'failed taskCrashes']])
 })
 
@@ -165,10 +165,10 @@
     lost(bench, agent, ['one.0.0'], { evidence: CrashEvidence.Silent })
     loseTarget(bench, agent)
     bench.end(agent, 'one.0.0', Outcome.Gone, Cause.Lapsed, attempt)
-    bench.pass(500, AGENTS)
+    bench.advance(500, AGENTS)
     expect(bench.starts().length).toEqual(2)
     lost(bench, agent, ['one.0.0'], { evidence, ago: 500 })
-    bench.pass(100, AGENTS)
+    bench.advance(100, AGENTS)
     expect([bench.starts().length, bench.answers().map(([, answer]) => answer)]).toEqual([starts, [...answers]])
   }
 })
@@ -184,7 +184,7 @@
 
 /** Reported crashes and the causes of ends, in the order of the messages. */
 function reported (bench: AgentBench): string[] {
-  return bench.of('send').flatMap(({ message }) => {
+  return bench.effectsOfType('send').flatMap(({ message }) => {
     if (message.type === 'crashes') return message.records.map(({ task, beside, evidence }) => `${task} ${evidence} ${beside}`)
     return message.type === 'ends' ? message.ends.map(({ task, cause }) => `${task} ended ${cause}`) : []
   })
@@ -205,7 +205,7 @@
     bench.run('one')
     bench.run('two')
     bench.pollFailed(PollFailure.NoListener)
-    bench.pass(TIMINGS.expiry)
+    bench.advance(TIMINGS.expiry)
     expect(reported(bench)).toEqual(['one silent 1', 'two silent 1', 'one ended lapsed', 'two ended lapsed'])
     bench.take()
     bench.seen({ instance: next })
@@ -226,7 +226,7 @@
   const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_INCARNATION)
   bench.run('one')
   bench.pollFailed(PollFailure.NoListener)
-  bench.pass(TIMINGS.expiry)
+  bench.advance(TIMINGS.expiry)
   bench.seen()
   bench.take()
   bench.polled()
@@ -239,7 +239,7 @@
     bench.run('one')
     leave(bench)
     bench.pollFailed(PollFailure.NoListener)
-    bench.pass(TIMINGS.expiry)
+    bench.advance(TIMINGS.expiry)
     bench.seen({ instance: 'target-2' })
     expect(reported(bench)).toEqual(['one ended lapsed'])
   }
@@ -254,7 +254,7 @@
   bench.take()
   bench.now += 2000
   bench.link('entry-2#a')
-  expect(bench.of('send').flatMap(({ entry, message }) => message.type === 'crashes' ? [entry, message.records.map(({ task, ago }) => [task, ago])] : [])).toEqual(['entry-2#a', [['one', 2000]]])
+  expect(bench.effectsOfType('send').flatMap(({ entry, message }) => message.type === 'crashes' ? [entry, message.records.map(({ task, ago }) => [task, ago])] : [])).toEqual(['entry-2#a', [['one', 2000]]])
 })
 
 test('an unresponsive target is reported as silent, and later reported as answered or crashed', () => {
@@ -262,7 +262,7 @@
     const bench = AgentBench.ready({ policy: ISOLATES }, NEW_ID_EACH_INCARNATION)
     bench.run('one')
     bench.pollFailed(PollFailure.Silent)
-    bench.pass(800)
+    bench.advance(800)
     expect(reported(bench).slice(0, 1)).toEqual(['one silent 0'])
     bench.take()
     next(bench)
@@ -276,8 +276,8 @@
   for (const instance of ['life-2', 'life-3']) {
     bench.echo()
     bench.start([order('one')])
-    bench.do({ type: 'pollFailed', instance: bench.of('start').at(-1)?.instance ?? '', sent: bench.now, failure: PollFailure.NoListener })
-    bench.pass(TIMINGS.expiry)
+    bench.do({ type: 'pollFailed', instance: bench.effectsOfType('start').at(-1)?.instance ?? '', sent: bench.now, failure: PollFailure.NoListener })
+    bench.advance(TIMINGS.expiry)
     bench.seen({ instance })
     bench.polled([], [], instance)
   }
@@ -295,8 +295,8 @@
   alone.link('entry-2#a')
   alone.start([{ ...order('one'), isolation: Isolation.Alone }, order('two')])
   expect(alone.ends()).toEqual(['two notStarted full'])
-  alone.pass(500)
-  const load = alone.of('send').filter(({ entry, message }) => entry !== ENTRY && message.type === 'ping').at(-1)?.message
+  alone.advance(500)
+  const load = alone.effectsOfType('send').filter(({ entry, message }) => entry !== ENTRY && message.type === 'ping').at(-1)?.message
   expect(load?.type === 'ping' ? load.load.others.cpu : 0).toEqual(8000)
 })
 
@@ -305,7 +305,7 @@
 test('the allocating entry keeps suspects of other entries apart, and grants nothing beside one that must run alone', () => {
   const bench = entry()
   bench.peer('other', -1)
-  bench.pass(1000, AGENTS)
+  bench.advance(1000, AGENTS)
   bench.take()
   const asked = (job: string, isolation?: Isolation): string => {
     const { needs, label, rack, perTarget } = step(1)
--- a/packages/dispatch/test/departures.test.ts
+++ b/packages/dispatch/test/departures.test.ts
@@ -16,7 +16,7 @@
   bench.take()
   bench.do({ type: 'agentUnlinked', agent })
   bench.link(agent, { incarnation: 'b', target: false })
-  bench.pass(10 * TIMINGS.silence, [agent, other])
+  bench.advance(10 * TIMINGS.silence, [agent, other])
   expect(bench.starts().map(start => start.split(' ')[0])).toEqual([other])
 })
 
@@ -26,9 +26,9 @@
   bench.run('job.0.0')
   bench.do({ type: 'targetLeft', instance: TARGET.instance })
   bench.polled([], [{ number: 1, task: 'job.0.0', run: 1, end: RunEnd.Done }])
-  bench.pass(1000)
+  bench.advance(1000)
   for (let passed = 0; passed < 10 * TIMINGS.maxExpiry; passed += 50) {
-    bench.pass(50)
+    bench.advance(50)
     if (bench.agent.status().target !== undefined) bench.pollFailed(PollFailure.Silent)
   }
   expect(bench.agent.status().target).toEqual(undefined)
@@ -45,7 +45,7 @@
   bench.start([order('job.0.0')])
   bench.do({ type: 'entryUnlinked', entry: ENTRY })
   bench.pollFailed(PollFailure.OtherInstance)
-  bench.pass(echoed + TIMINGS.silence - bench.now)
+  bench.advance(echoed + TIMINGS.silence - bench.now)
   expect(bench.agent.status().tasks).toEqual(0)
 })
 
@@ -56,7 +56,7 @@
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
   bench.take()
   bench.do({ type: 'targetLeft', instance: TARGET.instance })
-  bench.pass(50)
+  bench.advance(50)
   bench.pollFailed(PollFailure.OtherInstance)
   expect(bench.sent('crashes')).toEqual([])
   expect(bench.ends()).toEqual(['job.0.0 gone targetLost'])
@@ -69,7 +69,7 @@
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
   bench.now += 5
   bench.do({ type: 'tick' })
-  const [renewal] = bench.of('poll').slice(-1)
+  const [renewal] = bench.effectsOfType('poll').slice(-1)
   expect(renewal?.deadline !== undefined).toEqual(true)
   const sent = renewal?.sent as number
   bench.pollFailed(PollFailure.OtherInstance)
@@ -78,8 +78,8 @@
   bench.echo()
   bench.take()
   bench.start([order('next.0.0')])
-  expect(bench.of('start').length).toEqual(1)
-  bench.pass(sent + TIMINGS.maxExpiry - 20 - bench.now)
+  expect(bench.effectsOfType('start').length).toEqual(1)
+  bench.advance(sent + TIMINGS.maxExpiry - 20 - bench.now)
   expect(bench.ends()).toEqual([])
 })
 
--- a/packages/dispatch/test/echoes.test.ts
+++ b/packages/dispatch/test/echoes.test.ts
@@ -35,7 +35,7 @@
   bench.take()
   const ended = bench.now
   bench.end('one', 'job.0.0')
-  bench.pass(TIMINGS.ping + 50)
+  bench.advance(TIMINGS.ping + 50)
   expect(echoes(bench)).toEqual([`alone ${ended}`])
 })
 
@@ -75,7 +75,7 @@
 test('on a new link no echo is sent before the stops that the previous link may have lost are repeated', () => {
   const bench = relinkedAfterStop()
   const pinged = bench.now
-  bench.pass(TIMINGS.ping * 2)
+  bench.advance(TIMINGS.ping * 2)
   expect(stopsAndEchoes(bench)).toEqual([])
   bench.announce('one', { held: HELD })
   expect(stopsAndEchoes(bench)).toEqual(['stop job.0.0', `echo ${pinged}`])
@@ -120,12 +120,12 @@
   const bench = AgentBench.ready({}, NEW_ID_EACH_INCARNATION)
   bench.run('job.0.0')
   bench.run('job.0.1')
-  bench.pass(150)
+  bench.advance(150)
   bench.take()
   bench.polled([{ task: 'job.0.1', run: 1, percent: 50 }], [{ number: 1, task: 'job.0.0', run: 1, end: RunEnd.Done }])
-  bench.pass(150)
+  bench.advance(150)
   expect(bench.sent('ping').length).toEqual(0)
-  bench.pass(100)
+  bench.advance(100)
   expect(bench.sent('ping').length).toEqual(1)
 })
 
@@ -134,10 +134,10 @@
   bench.now += TIMINGS.contact + 1
   const echo = { sent: bench.now - 5, received: 0, waiting: false }
   bench.do({ type: 'entryMessage', entry: ENTRY, message: { type: 'start', payload: '', tasks: [order('job.0.0')], echo } })
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
   bench.now += TIMINGS.contact + 1
   bench.start([order('job.0.1')])
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
 })
 
 // A partition delays a start for seconds, and the entry has placed its task elsewhere. The echo in the start is as old.
@@ -146,7 +146,7 @@
   const echo = { sent: bench.now, received: 0, waiting: false }
   bench.now += 5000
   bench.do({ type: 'entryMessage', entry: ENTRY, message: { type: 'start', payload: '', tasks: [order('job.0.0')], echo } })
-  expect(bench.of('start').length).toEqual(0)
+  expect(bench.effectsOfType('start').length).toEqual(0)
 })
 
 test('among equally urgent jobs the queue with the higher priority comes first', () => {
@@ -164,11 +164,11 @@
   const bench = EntryBench.withAgents('one')
   bench.submit('filler', [step(4)])
   for (const job of ['refused1', 'refused2', 'refused3']) bench.submit(job, [step(1)], { remaining: 100 })
-  bench.pass(50, ['one'])
+  bench.advance(50, ['one'])
   bench.take()
   const waiting = bench.submit('waiting')
   bench.submit('other', [step(1, { estimated: 2000 })])
-  bench.pass(100, ['one'])
+  bench.advance(100, ['one'])
   expect(bench.answers()).toEqual([[waiting, 'refused overload']])
 })
 
@@ -179,7 +179,7 @@
   bench.submit('filler', [step(4)])
   const waiting = bench.submit('waiting')
   bench.submit('other', [step(1, { estimated: 2000 })])
-  bench.pass(200, ['one'])
+  bench.advance(200, ['one'])
   expect(bench.answers()).toEqual([])
   bench.end('one', 'filler.0.0')
   expect(bench.starts().at(-1)).toEqual('one waiting.0.0 1')
--- a/packages/dispatch/test/entrybench.ts
+++ b/packages/dispatch/test/entrybench.ts
@@ -59,7 +59,7 @@
     this.#effects.push(...this.entry.handle(event, this.now))
   }
 
-  pass (milliseconds: number, alive: string[] = []): void {
+  advance (milliseconds: number, alive: string[] = []): void {
     const end = this.now + milliseconds
     while (this.now < end) {
       this.now = Math.min(end, this.now + 50)
--- a/packages/dispatch/test/fleetadmission.test.ts
+++ b/packages/dispatch/test/fleetadmission.test.ts
@@ -94,7 +94,7 @@
   for (let index = 0; index < 40; index += 1) {
     bench.take()
     bench.submit(`job${index}`)
-    bench.pass(50, ['a1', 'a2'])
+    bench.advance(50, ['a1', 'a2'])
     sent += bench.told('other').filter(({ type }) => type === 'demand').length
   }
   expect([sent >= 8, sent <= 10]).toEqual([true, true])
@@ -160,7 +160,7 @@
   const bench = entry()
   for (const agent of ['a3', 'a4']) bench.link(agent)
   for (let index = 0; index < 3; index += 1) bench.submit(`job${index}`, [step(8)])
-  bench.pass(50, ['a1', 'a2', 'a3', 'a4'])
+  bench.advance(50, ['a1', 'a2', 'a3', 'a4'])
   expect([bench.entry.status().queued, bench.answers()]).toEqual([1, []])
   for (const agent of ['a2', 'a3', 'a4']) bench.do({ type: 'agentUnlinked', agent })
   bench.now += 20
@@ -188,7 +188,7 @@
   bench.do({ type: 'peerLinked', peer: 'other' })
   bench.receive('other', { type: 'demand', dataCentre: 'two', kinds: [demand('checks', 40, 4)] })
   bench.submit('job')
-  bench.pass(50, ['a1', 'a2'])
+  bench.advance(50, ['a1', 'a2'])
   const [row] = bench.entry.scheduling(bench.now).admission
   expect(row?.name).toEqual('checks')
   expect(row?.counts).toEqual({ offered: 1, admitted: 1, refused: {}, inTime: 0, late: 0 })
--- a/packages/dispatch/test/incarnations.test.ts
+++ b/packages/dispatch/test/incarnations.test.ts
@@ -37,7 +37,7 @@
   restart(bench)
   bench.take()
   bench.seen()
-  expect(bench.of('poll')).toEqual([])
+  expect(bench.effectsOfType('poll')).toEqual([])
   expect(bench.agent.status().target?.instance).toEqual(NEW_INCARNATION)
 })
 
@@ -58,7 +58,7 @@
   bench.take()
   restart(bench)
   expect(bench.ends()).toEqual([])
-  const [stop] = bench.of('stop').filter(({ instance }) => instance === NEW_INCARNATION)
+  const [stop] = bench.effectsOfType('stop').filter(({ instance }) => instance === NEW_INCARNATION)
   expect(stop?.task).toEqual('job.0.0')
   bench.do({ type: 'stopAnswered', instance: NEW_INCARNATION, task: 'job.0.0', run: 1, answered: true })
   bench.now += 60
@@ -74,19 +74,19 @@
   bench.run('job.0.0')
   bench.take()
   bench.pollFailed(PollFailure.OtherInstance)
-  bench.pass(TIMINGS.expiry + 100)
+  bench.advance(TIMINGS.expiry + 100)
   expect(bench.ends()).toEqual([])
-  bench.pass(TIMINGS.maxExpiry)
+  bench.advance(TIMINGS.maxExpiry)
   expect(bench.ends()).toEqual(['job.0.0 gone lapsed'])
 })
 
 test('the new incarnation is called with a higher token', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
-  const [start] = bench.of('start')
+  const [start] = bench.effectsOfType('start')
   restart(bench)
   bench.polled([], [], NEW_INCARNATION)
-  const poll = bench.of('poll').at(-1)
+  const poll = bench.effectsOfType('poll').at(-1)
   expect(poll?.instance).toEqual(NEW_INCARNATION)
   expect((poll?.token ?? 0) > (start?.token ?? 0)).toEqual(true)
 })
@@ -96,7 +96,7 @@
   bench.run('job.0.0')
   bench.polled([], [{ number: 57, task: 'other', run: 1, end: 'done' as never }])
   restart(bench)
-  expect(bench.of('poll').at(-1)?.acknowledged).toEqual(0)
+  expect(bench.effectsOfType('poll').at(-1)?.acknowledged).toEqual(0)
 })
 
 test('no task starts in the new incarnation before a poll has shown that it is clear', () => {
@@ -107,7 +107,7 @@
   expect(bench.ends()).toEqual(['job.0.0 notStarted noTarget'])
   bench.polled([], [], NEW_INCARNATION)
   bench.start([order('job.0.1')])
-  expect(bench.of('start').map(({ instance, task }) => [instance, task])).toEqual([[NEW_INCARNATION, 'job.0.1']])
+  expect(bench.effectsOfType('start').map(({ instance, task }) => [instance, task])).toEqual([[NEW_INCARNATION, 'job.0.1']])
 })
 
 test('a new incarnation is used when the current one does not respond until all tasks have expired', () => {
@@ -116,7 +116,7 @@
   bench.seen({ instance: NEW_INCARNATION })
   for (let elapsed = 0; elapsed < 800; elapsed += 50) {
     bench.pollFailed(PollFailure.Silent)
-    bench.pass(50)
+    bench.advance(50)
   }
   expect(bench.agent.status().target?.instance).toEqual(NEW_INCARNATION)
   expect(bench.ends()).toEqual(['job.0.0 gone lapsed'])
@@ -132,7 +132,7 @@
   expect(bench.ends()).toEqual(['job.0.0 notStarted noTarget'])
   bench.polled()
   bench.start([order('job.0.1')])
-  expect(bench.of('start').map(({ task }) => task)).toEqual(['job.0.1'])
+  expect(bench.effectsOfType('start').map(({ task }) => task)).toEqual(['job.0.1'])
 })
 
 test('a stored target that was replaced by a new incarnation is dropped, and the new one is offered after its heartbeat', () => {
@@ -154,21 +154,21 @@
 test('a target is stored for the next incarnation of the agent once it is clear, and when it begins to leave', () => {
   const bench = new AgentBench()
   bench.seen()
-  expect(bench.of('rememberTarget')).toEqual([])
+  expect(bench.effectsOfType('rememberTarget')).toEqual([])
   bench.polled()
   bench.seen({ leaving: true })
-  expect(bench.of('rememberTarget').map(({ facts }) => facts.leaving)).toEqual([false, true])
+  expect(bench.effectsOfType('rememberTarget').map(({ facts }) => facts.leaving)).toEqual([false, true])
 })
 
 // The worker is unreachable. Guards against a target that keeps receiving tasks, since it is empty, while its agent refuses each start.
 test('an unresponsive target is withdrawn until it answers again', () => {
   const bench = AgentBench.ready()
-  bench.pass(1000)
+  bench.advance(1000)
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(100)
+  bench.advance(100)
   expect(bench.sent('announce')).toEqual([])
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(100)
+  bench.advance(100)
   expect(bench.sent('announce').map(message => message.type === 'announce' && message.target?.leaving)).toEqual([true])
   bench.take()
   bench.polled()
--- a/packages/dispatch/test/lateentry.test.ts
+++ b/packages/dispatch/test/lateentry.test.ts
@@ -12,7 +12,7 @@
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job', [step(1)], { remaining: REMAINING })
   const [agent] = bench.starts().map(start => start.split(' ')[0] as string)
-  bench.pass(WHILE_ON_TIME, ['one', 'two'])
+  bench.advance(WHILE_ON_TIME, ['one', 'two'])
   bench.take()
   bench.now += LATE
   bench.end(agent as string, 'job.0.0', Outcome.Gone, Cause.Stopped)
@@ -23,7 +23,7 @@
   const bench = EntryBench.withAgents('one', 'two')
   bench.submit('job', [step(1)], { remaining: REMAINING + LATE })
   const [agent] = bench.starts().map(start => start.split(' ')[0] as string)
-  bench.pass(WHILE_ON_TIME, ['one', 'two'])
+  bench.advance(WHILE_ON_TIME, ['one', 'two'])
   bench.take()
   bench.end(agent as string, 'job.0.0', Outcome.Gone, Cause.Stopped)
   expect(bench.starts().length).toEqual(1)
--- a/packages/dispatch/test/learnedspeeds.test.ts
+++ b/packages/dispatch/test/learnedspeeds.test.ts
@@ -41,7 +41,7 @@
 test('an entry that has just started places tasks by the speeds that agents report', () => {
   const bench = startedEntry()
   reportSpeeds(bench)
-  bench.pass(100)
+  bench.advance(100)
   bench.take()
   expect(SLOW.includes(place(bench, 'short', 50) ?? '')).toEqual(true)
   expect(FAST.includes(place(bench, 'long', 900) ?? '')).toEqual(true)
@@ -51,11 +51,11 @@
 test('a target that becomes slow gets one task at a time until its speed is certain', () => {
   const bench = startedEntry()
   reportSpeeds(bench)
-  bench.pass(100)
+  bench.advance(100)
   for (const name of FAST.slice(1)) bench.ping(name, 8000)
   for (const name of SLOW) bench.ping(name, 8000)
   bench.do({ type: 'agentMessage', agent: 'fast0', message: { type: 'ping', sent: bench.now, load: { ...NO_LOAD, pace: 0.1 } } })
-  bench.pass(150)
+  bench.advance(150)
   bench.take()
   for (const id of ['one', 'two', 'three']) bench.submit(id, [step(1, { estimated: 20 })])
   expect(placedAt(bench).length <= 1).toEqual(true)
@@ -64,10 +64,10 @@
 test('a target without measurements gets tasks by the speed of its machine kind', () => {
   const bench = startedEntry()
   reportSpeeds(bench)
-  bench.pass(100)
+  bench.advance(100)
   for (const name of [...SLOW, ...FAST]) bench.ping(name, 8000)
   bench.link('new', { labels: ['a'] })
-  bench.pass(150)
+  bench.advance(150)
   bench.take()
   expect(place(bench, 'long', 900)).toEqual(undefined)
   expect(place(bench, 'short', 50)).toEqual('new')
@@ -109,7 +109,7 @@
   const notes: unknown[] = []
   for (let second = 0; second < 40; second += 1) {
     reportSpeeds(bench)
-    bench.pass(250)
+    bench.advance(250)
     notes.push(...bench.take().flatMap(effect => effect.type === 'note' && effect.what === 'speed of a kind learned' ? [effect.fields['kind']] : []))
   }
   expect(notes.sort()).toEqual(['a', 'b'])
--- a/packages/dispatch/test/leavingtargets.test.ts
+++ b/packages/dispatch/test/leavingtargets.test.ts
@@ -48,7 +48,7 @@
 test('no task starts later than the drain time after the first heartbeat with the notice', () => {
   const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
-  bench.pass(DRAIN - MAX_START_TIMEOUT_MILLISECONDS - 10)
+  bench.advance(DRAIN - MAX_START_TIMEOUT_MILLISECONDS - 10)
   bench.seen({ leaving: true, remaining: 5000 })
   expect(tryStart(bench, 'a')).toEqual([])
   bench.now += 10
@@ -60,7 +60,7 @@
   bench.seen({ leaving: true, remaining: 5000 })
   expect(announcedRemaining(bench)).toEqual(5000)
   bench.take()
-  bench.pass(DRAIN)
+  bench.advance(DRAIN)
   expect(bench.sent('announce').length).toEqual(1)
   expect(announcedRemaining(bench)).toEqual(undefined)
 })
@@ -87,7 +87,7 @@
 // A frozen process reads a heartbeat seconds after it was sent.
 test('the time that a heartbeat spent in a queue is subtracted from the remaining time', () => {
   const bench = AgentBench.ready(USES_LEAVING)
-  bench.pass(1000)
+  bench.advance(1000)
   bench.polled()
   bench.do({ type: 'targetSeen', facts: { ...TARGET, leaving: true, remaining: 1000 }, sequence: 9, clock: bench.now - 600 })
   expect(announcedRemaining(bench)).toEqual(400)
@@ -106,7 +106,7 @@
   bench.seen({ leaving: true, remaining: 5000 })
   bench.run('a')
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(200)
+  bench.advance(200)
   expect(announcedRemaining(bench)).toEqual(undefined)
 })
 
@@ -119,7 +119,7 @@
   bench.pollFailed(PollFailure.NoListener)
   expect(bench.ends()).toEqual([])
   expect(announcedRemaining(bench)).toEqual(undefined)
-  bench.pass(TIMINGS.expiry)
+  bench.advance(TIMINGS.expiry)
   expect(bench.ends()).toEqual(['a gone lapsed'])
 })
 
@@ -162,7 +162,7 @@
 test('an entry also counts down the remaining time of a leaving target', () => {
   const bench = EntryBench.withPolicy({ usesLeaving: true }, 'agent-1')
   leave(bench, 'agent-1', 1000)
-  bench.pass(500, ['agent-1'])
+  bench.advance(500, ['agent-1'])
   bench.submit('a', [step(1)])
   expect(bench.starts()).toEqual([])
 })
--- a/packages/dispatch/test/mixedbuilds.test.ts
+++ b/packages/dispatch/test/mixedbuilds.test.ts
@@ -15,7 +15,7 @@
   bench.receive('other', UNKNOWN as unknown as PeerMessage)
   bench.do({ type: 'agentMessage', agent: 'one', message: UNKNOWN as unknown as AgentMessage })
   bench.submit('job')
-  bench.pass(50, ['one'])
+  bench.advance(50, ['one'])
   expect(bench.take().filter(effect => effect.type === 'note' && effect.what === 'message of an unknown kind ignored').length).toEqual(2)
 })
 
@@ -23,7 +23,7 @@
 test('an entry that places by slack grants capacity to one that does not send how long its tasks may take', () => {
   const bench = new EntryBench({ policy: { placesBySlack: true }, strength: 1 }).serving('one')
   bench.peer('other')
-  bench.pass(SETTLING_MILLISECONDS + 100, ['one'])
+  bench.advance(SETTLING_MILLISECONDS + 100, ['one'])
   bench.take()
   const { needs, label, rack, perTarget } = step(1)
   const steps = [{ index: 0, needs, label, rack, perTarget, expected: 300, tasks: [{ name: 'job.0.0', avoid: '' }], placed: [] }]
@@ -35,5 +35,5 @@
   const bench = AgentBench.ready()
   bench.do({ type: 'entryMessage', entry: ENTRY, message: UNKNOWN as unknown as EntryMessage })
   bench.run('task')
-  expect(bench.of('start').length).toEqual(1)
+  expect(bench.effectsOfType('start').length).toEqual(1)
 })
--- a/packages/dispatch/test/nextincarnation.test.ts
+++ b/packages/dispatch/test/nextincarnation.test.ts
@@ -8,7 +8,7 @@
 const OTHER_ENTRY = 'entry-2#a'
 
 function startedTasks (bench: AgentBench): string[] {
-  return bench.of('start').map(({ task }) => task)
+  return bench.effectsOfType('start').map(({ task }) => task)
 }
 
 // Guards against a caller that submits a job again while the new incarnation runs its task: without this, contact lasts longer
@@ -58,7 +58,7 @@
   bench.now += TIMINGS.contact - 1
   bench.take()
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
-  expect(bench.of('poll').map(({ deadline }) => deadline !== undefined)).toEqual([true])
+  expect(bench.effectsOfType('poll').map(({ deadline }) => deadline !== undefined)).toEqual([true])
 })
 
 // Guards against ending a task by the lease of the current incarnation while the new one runs it under its longest lease.
@@ -66,9 +66,9 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(TIMINGS.maxExpiry - 50)
+  bench.advance(TIMINGS.maxExpiry - 50)
   expect(bench.ends()).toEqual([])
-  bench.pass(100)
+  bench.advance(100)
   expect(bench.ends()).toEqual(['job.0.0 gone lapsed'])
 })
 
@@ -85,9 +85,9 @@
   bench.start([order('second.0.0')], OTHER_ENTRY)
   expect(startedTasks(bench).at(-1)).toEqual('second.0.0')
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(TIMINGS.maxExpiry - 50)
+  bench.advance(TIMINGS.maxExpiry - 50)
   expect(bench.ends().includes('second.0.0 gone lapsed')).toEqual(false)
-  bench.pass(100)
+  bench.advance(100)
   expect(bench.ends().includes('second.0.0 gone lapsed')).toEqual(true)
 })
 
@@ -96,7 +96,7 @@
   bench.run('job.0.0')
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
   bench.pollFailed(PollFailure.Silent)
-  bench.pass(TIMINGS.expiry)
+  bench.advance(TIMINGS.expiry)
   expect(bench.ends()).toEqual(['job.0.0 gone lapsed'])
 })
 
@@ -106,10 +106,10 @@
   bench.run('job.0.0')
   bench.take()
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }, { task: 'stray.0.0', run: 1, percent: 5 }])
-  expect(bench.of('poll').map(({ deadline }) => deadline)).toEqual([undefined])
+  expect(bench.effectsOfType('poll').map(({ deadline }) => deadline)).toEqual([undefined])
   bench.take()
   bench.polled([{ task: 'job.0.0', run: 1, percent: 5 }])
-  expect(bench.of('poll').map(({ deadline }) => deadline !== undefined)).toEqual([true])
+  expect(bench.effectsOfType('poll').map(({ deadline }) => deadline !== undefined)).toEqual([true])
 })
 
 test('a start without a target is refused at once, however old the contact', () => {
--- a/packages/dispatch/test/partitionsharing.test.ts
+++ b/packages/dispatch/test/partitionsharing.test.ts
@@ -23,7 +23,7 @@
   passWithReports (milliseconds: number, peers: string[] = []): void {
     for (let passed = 0; passed < milliseconds; passed += 200) {
       for (const peer of peers) this.receive(peer, { ...FREE_CAPACITY, group: peer })
-      this.pass(Math.min(200, milliseconds - passed), AGENTS)
+      this.advance(Math.min(200, milliseconds - passed), AGENTS)
     }
   }
 
@@ -105,7 +105,7 @@
   fill(made)
   made.submit('job')
   const asked = made.now
-  while (made.starts().length === 0) made.pass(TICK, AGENTS)
+  while (made.starts().length === 0) made.advance(TICK, AGENTS)
   expect(made.now - asked <= REQUEST_TIMEOUT_MILLISECONDS + TICK).toEqual(true)
 })
 
@@ -127,7 +127,7 @@
   const passWithMembers = (milliseconds: number): void => {
     for (let passed = 0; passed < milliseconds; passed += 200) {
       made.receive('other', { type: 'member', dataCentre: 'one', able: true, strength: 0 })
-      made.pass(200, AGENTS)
+      made.advance(200, AGENTS)
     }
   }
   made.peer('other')
@@ -143,10 +143,10 @@
 // A frozen holder keeps its links; its targets must not stay idle until it recovers.
 test('the partition of an unresponsive holder is taken over, and handed back when a message of the holder arrives', () => {
   const made = bench('other')
-  made.pass(HOLDER_TIMEOUT_MILLISECONDS + TICK, AGENTS)
+  made.advance(HOLDER_TIMEOUT_MILLISECONDS + TICK, AGENTS)
   expect(made.notes('partition taken')).toEqual(1)
   made.receive('other', FREE_CAPACITY)
-  made.pass(TICK, AGENTS)
+  made.advance(TICK, AGENTS)
   expect(made.notes('partition handed over')).toEqual(1)
 })
 
@@ -162,7 +162,7 @@
 test('an entry that lags hands its partition over and reports it, until its lag has been low for a while', () => {
   const made = bench('other')
   made.submit('filler')
-  made.pass(TICK, AGENTS)
+  made.advance(TICK, AGENTS)
   made.take()
   made.now += 2 * TICK
   made.do({ type: 'tick' })
@@ -191,7 +191,7 @@
   made.passWithReports(200, ['other'])
   made.do({ type: 'peerUnlinked', peer: 'other' })
   made.peer('other')
-  made.pass(TICK, AGENTS)
+  made.advance(TICK, AGENTS)
   const { groups } = made.entry.scheduling(made.now).room
   expect(groups.filter(({ entry }) => entry === 'other').map(({ free }) => free)).toEqual([0])
 })
@@ -200,7 +200,7 @@
   const made = bench()
   expect(made.entry.scheduling(made.now).room.groups.map(({ entry }) => entry)).toEqual(['self'])
   made.peer('new')
-  made.pass(1000, AGENTS)
+  made.advance(1000, AGENTS)
   expect(heldBy('new', 'self', 'new').length > 0).toEqual(true)
   expect(made.entry.scheduling(made.now).room.groups.map(({ entry }) => entry).sort()).toEqual(['new', 'self'])
 })
--- a/packages/dispatch/test/targets.test.ts
+++ b/packages/dispatch/test/targets.test.ts
@@ -122,11 +122,11 @@
   const bench = EntryBench.withAgents('one')
   bench.link('large', { cpu: 32_000 })
   bench.do({ type: 'agentUnlinked', agent: 'large' })
-  bench.pass(14_000, ['one'])
+  bench.advance(14_000, ['one'])
   const needs = { cpu: 20_000, memory: 10, accelerators: 0 }
   bench.submit('early', [step(1, { needs })])
   expect(bench.answers()).toEqual([])
-  bench.pass(2000, ['one'])
+  bench.advance(2000, ['one'])
   const late = bench.submit('late', [step(1, { needs })])
   expect(bench.answers().at(-1)).toEqual([late, 'refused neverRunnable'])
 })
