--- a/packages/dispatch/src/agent.ts
+++ b/packages/dispatch/src/agent.ts
@@ -129,7 +129,7 @@
     [PollFailure.OtherInstance]: (_sent, now) => this.#targetLost('another instance answers', IncarnationEnd.Replaced, now),
     [PollFailure.NoListener]: (_sent, now) => this.#connectionRefused(now),
     [PollFailure.Fenced]: () => this.#target.raiseToken(),
-    [PollFailure.Silent]: (sent, now) => this.#target.noteUnanswered(sent, now)
+    [PollFailure.NoResponse]: (sent, now) => this.#target.noteUnanswered(sent, now)
   }
 
   constructor ({ timings, stop, drain = 0, wallClock, guards = ALL_AGENT_GUARDS, policy }: AgentOptions) {
@@ -358,7 +358,7 @@
     const expired = this.#held.all().filter(held => now >= this.#target.grants.expiresAt(held))
     if (expired.length === 0) return
     this.#crashes.lapsed(now)
-    this.#runs.finishAll(expired, Cause.Lapsed, EndEvidence.Lapsed, now)
+    this.#runs.finishAll(expired, Cause.Expired, EndEvidence.Expired, now)
     if (this.#target.departing && this.#held.size === 0) this.#loseDepartedTarget(now)
   }
 
--- a/packages/dispatch/src/agenttypes.ts
+++ b/packages/dispatch/src/agenttypes.ts
@@ -21,7 +21,7 @@
   /** Nothing listens at the address of the target. */
   NoListener = 'noListener',
   /** No answer. The start may still be carried out. */
-  Silent = 'silent'
+  NoResponse = 'silent'
 }
 
 /** Reason for the failure of a poll. */
@@ -29,7 +29,7 @@
   Fenced = 'fenced',
   OtherInstance = 'otherInstance',
   NoListener = 'noListener',
-  Silent = 'silent'
+  NoResponse = 'silent'
 }
 
 export interface RunningTask {
@@ -44,7 +44,7 @@
   Done = 'done',
   Failed = 'failed',
   Stopped = 'stopped',
-  Lapsed = 'lapsed',
+  Expired = 'lapsed',
   /** The run was ended because of another member of its group. */
   Broken = 'broken'
 }
--- a/packages/dispatch/src/crashmemory.ts
+++ b/packages/dispatch/src/crashmemory.ts
@@ -25,7 +25,7 @@
 
   /** Records that an incarnation does not respond and its tasks begin to expire. Existing records are not changed. */
   silent (instance: string, tasks: readonly string[], now: number): CrashRecord[] {
-    return this.#note(instance, this.#unknown(instance, tasks), CrashEvidence.Silent, now)
+    return this.#note(instance, this.#unknown(instance, tasks), CrashEvidence.Unresponsive, now)
   }
 
   /** Drops the records of an incarnation that answers again, so that it had not crashed. Returns them for the entries. */
@@ -67,7 +67,7 @@
   #updateUnresponsive (instance: string, evidence: CrashEvidence, now: number): CrashRecord[] {
     const settled: CrashRecord[] = []
     for (const record of this.#records.values()) {
-      if (record.instance !== instance || record.evidence !== CrashEvidence.Silent) continue
+      if (record.instance !== instance || record.evidence !== CrashEvidence.Unresponsive) continue
       record.evidence = evidence
       settled.push(crashRecordOf(record, now))
     }
--- a/packages/dispatch/src/crashsuspects.ts
+++ b/packages/dispatch/src/crashsuspects.ts
@@ -90,7 +90,7 @@
     const separateLosses = losses.filter(({ at }) => !this.#isInMassLoss(at))
     const nearlyAlone = separateLosses.some(({ beside }) => beside <= MAX_TASKS_BESIDE)
     if (separateLosses.length < CRASHES_TO_CONFIRM || !nearlyAlone) return CrashVerdict.Alone
-    const inconclusive = separateLosses.some(({ evidence, at }) => evidence === CrashEvidence.Silent || now - at < MASS_LOSS_WINDOW_MILLISECONDS)
+    const inconclusive = separateLosses.some(({ evidence, at }) => evidence === CrashEvidence.Unresponsive || now - at < MASS_LOSS_WINDOW_MILLISECONDS)
     return inconclusive ? CrashVerdict.Withheld : CrashVerdict.Blocked
   }
 
--- a/packages/dispatch/src/fleet.ts
+++ b/packages/dispatch/src/fleet.ts
@@ -308,7 +308,7 @@
   #endUnresponsive (agent: AgentView, placements: readonly Placement[], echoedAt: number, now: number): void {
     if (placements.length === 0) return
     this.#note('tasks of a silent agent ended', { agent: agent.name, tasks: placements.length, echoedAgo: Math.round(now - echoedAt) })
-    for (const placement of placements) this.#endAsGone(agent, placement, Cause.Lapsed, now)
+    for (const placement of placements) this.#endAsGone(agent, placement, Cause.Expired, now)
   }
 
   #removeAgent (agent: AgentView): void {
--- a/packages/dispatch/src/messages.ts
+++ b/packages/dispatch/src/messages.ts
@@ -61,7 +61,7 @@
   /** The task was stopped. */
   Stopped = 'stopped',
   /** The lease of the target expired. */
-  Lapsed = 'lapsed',
+  Expired = 'lapsed',
   /** The target is gone. */
   TargetLost = 'targetLost',
   /** The target crashed, or has crashed before while running the same task. */
@@ -71,7 +71,7 @@
 /** What is known about an incarnation of a target that was lost while tasks ran there. */
 export enum CrashEvidence {
   /** It did not respond until the tasks had expired. */
-  Silent = 'silent',
+  Unresponsive = 'silent',
   /** It crashed. */
   Crashed = 'crashed',
   /** It has answered again, so it had not crashed. */
--- a/packages/dispatch/src/runends.ts
+++ b/packages/dispatch/src/runends.ts
@@ -9,9 +9,9 @@
   /** The target refused the start. */
   StartRefused = 'startRefused',
   /** The lease of the run expired. */
-  Lapsed = 'lapsed',
+  Expired = 'lapsed',
   /** A new incarnation answers at the target's address. */
-  OtherLife = 'otherLife',
+  NewIncarnation = 'otherLife',
   /** The target departs while the guard that waits for the lease (`refusals`) is switched off. */
   Assumed = 'assumed'
 }
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -78,7 +78,7 @@
       this.#notStarted(held, Cause.Unreachable, now)
       this.#dependencies.connectionRefused(now)
     },
-    [StartAnswer.Silent]: (held, now) => this.#startUnanswered(held, now)
+    [StartAnswer.NoResponse]: (held, now) => this.#startUnanswered(held, now)
   }
 
   constructor (dependencies: TaskRunsDependencies) {
@@ -104,7 +104,7 @@
     const held = this.#held.get(task)
     if (held === undefined || held.run !== run || !this.#target.isCurrent(instance)) return
     if (answer !== StartAnswer.Started) this.#context.note('start refused', { task, run, answer, instance })
-    if (answer === StartAnswer.Silent) this.#target.noteLoss(now)
+    if (answer === StartAnswer.NoResponse) this.#target.noteLoss(now)
     else if (held.stage === Stage.Starting) this.#target.noteStartAnswered(now - held.startedAt)
     this.#startAnswers[answer](held, now)
   }
@@ -232,7 +232,7 @@
     if (end === RunEnd.Done) this.#target.pace.observe(held, WHOLE_PERCENT, now)
     if (end === RunEnd.Done) return this.#finish(held, { outcome: Outcome.Done, cause: Cause.None, evidence: EndEvidence.Listed }, now)
     if (end === RunEnd.Failed) return this.#finish(held, { outcome: Outcome.Failed, cause: Cause.None, evidence: EndEvidence.Listed }, now)
-    this.#finish(held, { outcome: Outcome.Gone, cause: end === RunEnd.Lapsed ? Cause.Lapsed : Cause.Stopped, evidence: EndEvidence.Listed }, now)
+    this.#finish(held, { outcome: Outcome.Gone, cause: end === RunEnd.Expired ? Cause.Expired : Cause.Stopped, evidence: EndEvidence.Listed }, now)
   }
 
   #runs (held: HeldTask, percent: number, now: number): void {
@@ -260,7 +260,7 @@
   /** Ends a task that the target lists neither as running nor as ended, if it had confirmed the start or stop before the poll was sent. */
   #noteMissing (held: HeldTask, sent: number, now: number): void {
     if (held.stage === Stage.Running && held.confirmedAt !== undefined && held.confirmedAt < sent) {
-      return this.#finish(held, { outcome: Outcome.Gone, cause: Cause.Lapsed, evidence: EndEvidence.Missing }, now)
+      return this.#finish(held, { outcome: Outcome.Gone, cause: Cause.Expired, evidence: EndEvidence.Missing }, now)
     }
     if (held.stage !== Stage.Stopping || held.stopConfirmedAt === undefined) return
     // A run that was never confirmed has not begun, and the stop keeps it from starting later.
@@ -292,7 +292,7 @@
   endIncarnation (cause: Cause, now: number): void {
     for (const held of this.#held.all()) {
       if (!this.#context.guards.nextLife || this.#target.isOfCurrentIncarnation(held)) {
-        this.#finish(held, { outcome: Outcome.Gone, cause, evidence: EndEvidence.OtherLife }, now)
+        this.#finish(held, { outcome: Outcome.Gone, cause, evidence: EndEvidence.NewIncarnation }, now)
         continue
       }
       held.stage = Stage.Stopping
--- a/packages/dispatch/test/agent.test.ts
+++ b/packages/dispatch/test/agent.test.ts
@@ -49,7 +49,7 @@
 test('an unconfirmed start is cancelled before the task is reported as gone', () => {
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
-  bench.startAnswered('job.0.0', StartAnswer.Silent)
+  bench.startAnswered('job.0.0', StartAnswer.NoResponse)
   expect(bench.ends()).toEqual([])
   expect(bench.effectsOfType('stop').map(({ task, run }) => [task, run])).toEqual([['job.0.0', 1]])
   bench.polled()
@@ -82,7 +82,7 @@
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
   bench.polled([{ task: 'job.0.0', run: 1, percent: 3 }])
-  bench.startAnswered('job.0.0', StartAnswer.Silent)
+  bench.startAnswered('job.0.0', StartAnswer.NoResponse)
   expect(bench.effectsOfType('stop')).toEqual([])
   expect(bench.ends()).toEqual([])
 })
@@ -90,7 +90,7 @@
 test('a stop without an answer is sent again', () => {
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
-  bench.startAnswered('job.0.0', StartAnswer.Silent)
+  bench.startAnswered('job.0.0', StartAnswer.NoResponse)
   bench.echo()
   bench.advance(250)
   expect(bench.effectsOfType('stop').length).toBeGreaterThanOrEqual(3)
@@ -179,7 +179,7 @@
 test('an expired lease ends every task', () => {
   const bench = AgentBench.ready({}, NEW_ID_EACH_INCARNATION)
   bench.run('job.0.0')
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.echo()
   bench.now += TIMINGS.expiry - 1
   bench.echo()
@@ -194,7 +194,7 @@
 test('the lease of a target that does not answer is not renewed', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.take()
   bench.advance(50)
   expect(bench.effectsOfType('poll').map(({ deadline }) => deadline)).toEqual([undefined])
@@ -205,7 +205,7 @@
 test('no task starts at a target that does not answer', () => {
   const bench = AgentBench.ready()
   bench.run('job.0.0')
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.start([order('job.0.1')])
   expect(bench.ends()).toEqual(['job.0.1 notStarted unreachable'])
 })
--- a/packages/dispatch/test/answertimes.test.ts
+++ b/packages/dispatch/test/answertimes.test.ts
@@ -50,7 +50,7 @@
   bench.run('job.0.0')
   bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
   expect(bench.effectsOfType('poll').at(-1)?.wait).toEqual(120)
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.now += 30
   bench.do({ type: 'tick' })
   bench.polled([{ task: 'job.0.0', run: 1, percent: 20 }])
@@ -70,7 +70,7 @@
   const bench = AgentBench.ready()
   bench.start([order('job.0.0')])
   bench.now += 120
-  bench.startAnswered('job.0.0', StartAnswer.Silent)
+  bench.startAnswered('job.0.0', StartAnswer.NoResponse)
   bench.now += 100
   bench.do({ type: 'stopAnswered', instance: TARGET.instance, task: 'job.0.0', run: 1, answered: false })
   expect(bench.effectsOfType('stop').length).toEqual(2)
@@ -81,7 +81,7 @@
   const bench = AgentBench.ready()
   bench.run('job.0.0')
   bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.now += 30
   bench.do({ type: 'tick' })
   bench.polled([{ task: 'job.0.0', run: 1, percent: 20 }])
@@ -100,6 +100,6 @@
   const [first] = bench.effectsOfType('poll')
   bench.now += 1
   bench.polled([{ task: 'job.0.0', run: 1, percent: 10 }])
-  bench.do({ type: 'pollFailed', instance: TARGET.instance, sent: (first?.sent ?? 0) - 1, failure: PollFailure.Silent })
+  bench.do({ type: 'pollFailed', instance: TARGET.instance, sent: (first?.sent ?? 0) - 1, failure: PollFailure.NoResponse })
   expect(bench.agent.status().silent).toEqual(false)
 })
--- a/packages/dispatch/test/departures.test.ts
+++ b/packages/dispatch/test/departures.test.ts
@@ -29,7 +29,7 @@
   bench.advance(1000)
   for (let passed = 0; passed < 10 * TIMINGS.maxExpiry; passed += 50) {
     bench.advance(50)
-    if (bench.agent.status().target !== undefined) bench.pollFailed(PollFailure.Silent)
+    if (bench.agent.status().target !== undefined) bench.pollFailed(PollFailure.NoResponse)
   }
   expect(bench.agent.status().target).toEqual(undefined)
 })
--- a/packages/dispatch/test/entry.test.ts
+++ b/packages/dispatch/test/entry.test.ts
@@ -67,7 +67,7 @@
   const bench = EntryBench.withAgents('one')
   bench.submit('job')
   for (let attempt = 1; attempt <= 5; attempt += 1) {
-    bench.end('one', 'job.0.0', Outcome.Gone, Cause.Lapsed, attempt)
+    bench.end('one', 'job.0.0', Outcome.Gone, Cause.Expired, attempt)
     bench.advance(150, ['one'])
   }
   expect(bench.answers()).toEqual([])
@@ -212,7 +212,7 @@
   bench.submit('job')
   expect(bench.starts()).toEqual(['a job.0.0 2'])
   bench.take()
-  bench.end('a', 'job.0.0', Outcome.Gone, Cause.Lapsed)
+  bench.end('a', 'job.0.0', Outcome.Gone, Cause.Expired)
   expect(bench.starts()).toEqual([])
 })
 
--- a/packages/dispatch/test/incarnations.test.ts
+++ b/packages/dispatch/test/incarnations.test.ts
@@ -115,7 +115,7 @@
   bench.run('job.0.0')
   bench.seen({ instance: NEW_INCARNATION })
   for (let elapsed = 0; elapsed < 800; elapsed += 50) {
-    bench.pollFailed(PollFailure.Silent)
+    bench.pollFailed(PollFailure.NoResponse)
     bench.advance(50)
   }
   expect(bench.agent.status().target?.instance).toEqual(NEW_INCARNATION)
@@ -164,10 +164,10 @@
 test('an unresponsive target is withdrawn until it answers again', () => {
   const bench = AgentBench.ready()
   bench.advance(1000)
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.advance(100)
   expect(bench.sent('announce')).toEqual([])
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.advance(100)
   expect(bench.sent('announce').map(message => message.type === 'announce' && message.target?.leaving)).toEqual([true])
   bench.take()
--- a/packages/dispatch/test/leavingtargets.test.ts
+++ b/packages/dispatch/test/leavingtargets.test.ts
@@ -105,7 +105,7 @@
   const bench = AgentBench.ready(USES_LEAVING)
   bench.seen({ leaving: true, remaining: 5000 })
   bench.run('a')
-  bench.pollFailed(PollFailure.Silent)
+  bench.pollFailed(PollFailure.NoResponse)
   bench.advance(200)
   expect(announcedRemaining(bench)).toEqual(undefined)
 })
--- a/packages/dispatch/test/runends.test.ts
+++ b/packages/dispatch/test/runends.test.ts
@@ -94,7 +94,7 @@
 })
 
 test('tasks at a deregistered target count as running until their lease has expired, whether it does not respond or refuses connections', () => {
-  for (const failure of [PollFailure.NoListener, PollFailure.Silent]) {
+  for (const failure of [PollFailure.NoListener, PollFailure.NoResponse]) {
     const bench = AgentBench.ready({}, NEW_ID_EACH_INCARNATION)
     bench.run('job.0.0')
     bench.take()
--- a/packages/emulator/src/emulatedtarget.ts
+++ b/packages/emulator/src/emulatedtarget.ts
@@ -235,7 +235,7 @@
     const { instance, task, run, token, deadline, timeout } = order
     const reply = (answer: StartAnswer): void => this.#post({ type: 'startAnswered', instance, task, run, answer })
     this.#call(order, timeout, reply, {
-      silent: StartAnswer.Silent,
+      silent: StartAnswer.NoResponse,
       refused: StartAnswer.NoListener,
       otherInstance: StartAnswer.OtherInstance,
       carryOut: () => this.#start({ task, run, token, deadline })
@@ -260,7 +260,7 @@
     // It grants the lease once, on its arrival, however long its answer waits.
     let granting = deadline
     const answers: CallAnswers<AgentEvent> = {
-      silent: failed(PollFailure.Silent),
+      silent: failed(PollFailure.NoResponse),
       refused: failed(PollFailure.NoListener),
       otherInstance: failed(PollFailure.OtherInstance),
       carryOut: () => {
--- a/packages/emulator/test/emulatedtarget.test.ts
+++ b/packages/emulator/test/emulatedtarget.test.ts
@@ -55,7 +55,7 @@
   target.start({ type: 'start', instance, token: TOKEN, task: 'b', run: 1, payload: '', deadline: DEADLINE, timeout: TIMEOUT })
   timeline.runUntil(200)
   expect(events).toEqual([
-    { type: 'pollFailed', instance, sent: 10, failure: PollFailure.Silent },
+    { type: 'pollFailed', instance, sent: 10, failure: PollFailure.NoResponse },
     { type: 'startAnswered', instance, task: 'b', run: 1, answer: StartAnswer.NoListener }
   ])
   expect(tasksOf(bench)).toEqual(['a'])
