--- a/packages/daemon/src/supervise.ts
+++ b/packages/daemon/src/supervise.ts
@@ -38,7 +38,7 @@
     await daemon.run()
     return End.Stopped
   } catch (error) {
-    log.fatal({ err: error }, 'a fault of the program: please report this line')
+    log.fatal({ err: error }, 'unexpected error: please report this line')
     return End.Fault
   }
 }
--- a/packages/daemon/test/decisionlog.test.ts
+++ b/packages/daemon/test/decisionlog.test.ts
@@ -41,8 +41,8 @@
 
 // A burst of changes must neither flood the log nor displace the lines of jobs.
 test('lines that report changes are bounded and leave the budget of routine lines untouched', async () => {
-  const lines = await linesOf([{ what: 'stray run stopped', count: 2000 }, { what: 'job taken', count: 100 }])
-  expect(countOf(lines, 'stray run stopped') <= 300).toEqual(true)
+  const lines = await linesOf([{ what: 'orphaned run stopped', count: 2000 }, { what: 'job taken', count: 100 }])
+  expect(countOf(lines, 'orphaned run stopped') <= 300).toEqual(true)
   expect(countOf(lines, 'job taken')).toEqual(100)
 })
 
--- a/packages/daemon/test/supervise.test.ts
+++ b/packages/daemon/test/supervise.test.ts
@@ -37,7 +37,7 @@
     signals: 0,
     limit: NO_LIMIT,
     code: 1,
-    logged: ['a fault of the program: please report this line', 'ended'],
+    logged: ['unexpected error: please report this line', 'ended'],
     stops: 0
   }
 ]
--- a/packages/dispatch/src/targetwatch.ts
+++ b/packages/dispatch/src/targetwatch.ts
@@ -172,7 +172,7 @@
    */
   verifyIncarnation (announcement: Announcement, now: number): void {
     this.#announcedIncarnation = { announcement, askedAt: now }
-    this.#context.note('another life of the target announced itself', { instance: announcement.facts.instance, current: this.#facts?.instance })
+    this.#context.note('a new incarnation of the target announced itself', { instance: announcement.facts.instance, current: this.#facts?.instance })
     this.poll(undefined, 0, now)
   }
 
@@ -368,7 +368,7 @@
   noteUnanswered (sent: number, now: number): void {
     this.noteLoss(now)
     if (sent < this.#lastAnsweredPollAt) return
-    if (!this.#lease.silent) this.#context.note('target silent', { instance: this.#facts?.instance, tasks: this.#held.size })
+    if (!this.#lease.silent) this.#context.note('target unresponsive', { instance: this.#facts?.instance, tasks: this.#held.size })
     this.#lease.noteUnanswered(now)
   }
 }
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -251,7 +251,7 @@
     const since = this.#orphanedRuns.get(runKey(task, run))
     if (since === undefined) {
       this.ends.noteOrphanedRun()
-      this.#context.note('stray run stopped', { task, run, instance: this.#target.callIdentity().instance })
+      this.#context.note('orphaned run stopped', { task, run, instance: this.#target.callIdentity().instance })
     }
     this.#context.emit({ type: 'stop', ...this.#target.callIdentity(), task, run, timeout: this.#target.stopTimeout })
     return since ?? now
