--- a/packages/dispatch/src/allocationclient.ts
+++ b/packages/dispatch/src/allocationclient.ts
@@ -52,7 +52,7 @@
   readonly #dependencies: AllocationClientDependencies
   /** Jobs for which a request is to be sent, possibly in place of an earlier one. */
   readonly #toRequest = new Set<Job>()
-  readonly #pending = new Map<Job, PendingRequest>()
+  readonly #asked = new Map<Job, PendingRequest>()
   /** Groups that declined a request for a job. */
   readonly #tried = new Map<Job, Set<string>>()
   /** Free processors of groups as last reported by their allocators, less what was requested since, in thousandths of a core. */
@@ -78,7 +78,7 @@
 
   /** Whether the allocator has reported that other jobs compete for the capacity that the job waits for. */
   isCrowded (job: Job): boolean {
-    return this.#pending.get(job)?.crowded === true
+    return this.#asked.get(job)?.crowded === true
   }
 
   noteQueued (job: Job): void {
@@ -99,7 +99,7 @@
 
   /** Whether a request for the job is pending that the allocator grants or declines immediately. */
   hasImmediateRequest (job: Job): boolean {
-    return this.#pending.get(job)?.waits === false
+    return this.#asked.get(job)?.waits === false
   }
 
   /** Whether to send a request while answers are slow, to measure whether they still are; at most once per probe interval. */
@@ -119,7 +119,7 @@
   requestElsewhere (now: number): void {
     for (const job of this.#toRequest) {
       const tasks = job.queued()
-      if (job.state !== JobState.Open || tasks.length === 0 || this.#pending.has(job)) continue
+      if (job.state !== JobState.Open || tasks.length === 0 || this.#asked.has(job)) continue
       const group = this.#groupWithCapacity(cpuOf(job, tasks), this.#tried.get(job) ?? NO_GROUPS)
       if (group !== undefined) this.#send(job, tasks, group, false, now)
     }
@@ -130,7 +130,7 @@
   requestFromPartitions (now: number): void {
     for (const job of this.#toRequest) {
       const tasks = job.queued()
-      if (job.state === JobState.Open && tasks.length > 0 && this.#pending.get(job)?.waits !== false) this.#requestFromPartition(job, tasks, now)
+      if (job.state === JobState.Open && tasks.length > 0 && this.#asked.get(job)?.waits !== false) this.#requestFromPartition(job, tasks, now)
     }
     this.#toRequest.clear()
   }
@@ -143,7 +143,7 @@
     const minCpu = Math.min(...tasks.map(({ step }) => (steps[step] as Step).needs.cpu))
     const holder = choosePartition(id, cpuOf(job, tasks), minCpu, partitions)
     if (holder !== undefined) return this.#send(job, tasks, holder, false, now)
-    if (this.#pending.has(job)) return
+    if (this.#asked.has(job)) return
     const waitsAt = choosePartition(id, 0, 0, holders.map(name => ({ name, free: 1, near: this.#dependencies.near(name) })))
     if (waitsAt !== undefined) this.#send(job, tasks, waitsAt, true, now)
   }
@@ -151,8 +151,8 @@
   /** Schedules all waiting jobs to be requested again, from any group that has capacity now. */
   retryWaiting (): void {
     this.#tried.clear()
-    for (const [job, { waits }] of this.#pending) if (waits) this.#toRequest.add(job)
-    for (const queue of this.#dependencies.queues.values()) for (const job of queue.jobs()) if (!this.#pending.has(job)) this.#toRequest.add(job)
+    for (const [job, { waits }] of this.#asked) if (waits) this.#toRequest.add(job)
+    for (const queue of this.#dependencies.queues.values()) for (const job of queue.jobs()) if (!this.#asked.has(job)) this.#toRequest.add(job)
   }
 
   /** Free capacity of a partition, in thousandths of a core; undefined when the last report of its holder is too old. */
@@ -162,17 +162,17 @@
 
   /** Ends a request once each of its tasks has a grant; the job may have further tasks to place by then, or have released grants. */
   noteGrants (peer: string, job: Job, grants: number): void {
-    const pending = this.#pending.get(job)
+    const pending = this.#asked.get(job)
     if (pending?.peer !== peer) return
     pending.left -= grants
     if (pending.left > 0) return
-    this.#pending.delete(job)
+    this.#asked.delete(job)
     this.#toRequest.add(job)
   }
 
   /** Withdraws waiting requests for jobs whose tasks are all placed by now. */
   withdrawFulfilled (): void {
-    for (const [job, { waits }] of this.#pending) if (waits && job.queued().length === 0) this.#withdraw(job)
+    for (const [job, { waits }] of this.#asked) if (waits && job.queued().length === 0) this.#withdraw(job)
   }
 
   /**
@@ -184,7 +184,7 @@
    */
   abandonUnanswered (since: number, allowance: number, now: number): Array<{ peer: string, asked: number }> {
     const unanswered: Array<{ peer: string, asked: number }> = []
-    for (const [job, { peer, waits, heardAt }] of this.#pending) {
+    for (const [job, { peer, waits, heardAt }] of this.#asked) {
       const asked = now - Math.max(heardAt, since)
       if (asked < allowance + (waits ? ALLOCATOR_TIMEOUT_MILLISECONDS : REQUEST_TIMEOUT_MILLISECONDS)) continue
       this.#withdraw(job)
@@ -202,8 +202,8 @@
 
   /** Requests and answer times for the status pages. */
   status (): { asked: number, waiting: number, answerMilliseconds: number } {
-    const waiting = [...this.#pending.values()].filter(({ waits }) => waits).length
-    return { asked: this.#pending.size, waiting, answerMilliseconds: Math.round(this.#answerTime) }
+    const waiting = [...this.#asked.values()].filter(({ waits }) => waits).length
+    return { asked: this.#asked.size, waiting, answerMilliseconds: Math.round(this.#answerTime) }
   }
 
   /**
@@ -212,13 +212,13 @@
    * @param sendsRequests whether this entry now requests capacity for all of its jobs
    */
   allocatorsChanged (sendsRequests: boolean): void {
-    for (const [job, { peer, group }] of this.#pending) {
+    for (const [job, { peer, group }] of this.#asked) {
       if (!this.#slow && this.#dependencies.allocatorOf(group) === peer && this.#dependencies.linked(peer)) continue
       this.#withdraw(job)
       this.#toRequest.add(job)
     }
     if (!sendsRequests) return
-    for (const queue of this.#dependencies.queues.values()) for (const job of queue.jobs()) if (!this.#pending.has(job)) this.#toRequest.add(job)
+    for (const queue of this.#dependencies.queues.values()) for (const job of queue.jobs()) if (!this.#asked.has(job)) this.#toRequest.add(job)
   }
 
   /**
@@ -227,7 +227,7 @@
    * @param sendsRequests whether this entry requests capacity for all of its jobs; else waiting jobs are scheduled too
    */
   retryElsewhere (sendsRequests: boolean): void {
-    for (const [job, { waits }] of this.#pending) {
+    for (const [job, { waits }] of this.#asked) {
       if (!waits || this.#groupWithCapacity(cpuOf(job, job.queued()), NO_GROUPS) === undefined) continue
       this.#tried.set(job, new Set([this.#dependencies.home()]))
       this.#toRequest.add(job)
@@ -235,7 +235,7 @@
     if (sendsRequests) return
     for (const queue of this.#dependencies.queues.values()) {
       for (const job of queue.jobs()) {
-        if (this.#pending.has(job)) continue
+        if (this.#asked.has(job)) continue
         this.#tried.delete(job)
         this.#toRequest.add(job)
       }
@@ -244,7 +244,7 @@
 
   /** Entries with a pending request, and when it was sent. */
   * awaitingAnswer (): Generator<{ peer: string, at: number }> {
-    yield * this.#pending.values()
+    yield * this.#asked.values()
   }
 
   noteFreeCapacity (group: string, free: number, now: number): void {
@@ -259,7 +259,7 @@
   }
 
   noteWaiting (peer: string, job: Job, crowded: boolean, now: number): void {
-    const pending = this.#pending.get(job)
+    const pending = this.#asked.get(job)
     if (pending?.peer !== peer) return
     pending.crowded = crowded
     pending.heardAt = now
@@ -272,7 +272,7 @@
    * @returns whether the entry has to switch between choosing targets itself and sending requests
    */
   noteGranted (peer: string, job: Job, waited: number, now: number): boolean {
-    const pending = this.#pending.get(job)
+    const pending = this.#asked.get(job)
     if (pending?.peer !== peer) return false
     const took = Math.max(0, now - pending.at - waited)
     this.#answerTime = this.#unanswered ? took : this.#answerTime + (took - this.#answerTime) * ANSWER_TIME_WEIGHT
@@ -295,7 +295,7 @@
 
   /** All tasks of the job have capacity: a request that is pending at an entry other than the one that granted it is withdrawn. */
   noteFulfilled (peer: string, job: Job): void {
-    if (this.#pending.get(job)?.peer === peer) this.#pending.delete(job)
+    if (this.#asked.get(job)?.peer === peer) this.#asked.delete(job)
     this.forget(job)
   }
 
@@ -303,8 +303,8 @@
     const tried = this.#tried.get(job)
     if (tried === undefined) this.#tried.set(job, new Set([group]))
     else tried.add(group)
-    if (this.#pending.get(job)?.peer !== peer) return
-    this.#pending.delete(job)
+    if (this.#asked.get(job)?.peer !== peer) return
+    this.#asked.delete(job)
     this.#toRequest.add(job)
   }
 
@@ -335,11 +335,11 @@
   #send (job: Job, tasks: readonly Task[], group: string, waits: boolean, now: number): void {
     const peer = this.#dependencies.allocatorOf(group)
     if (peer === undefined) return
-    if (this.#pending.get(job)?.peer !== peer) this.#withdraw(job)
+    if (this.#asked.get(job)?.peer !== peer) this.#withdraw(job)
     const { service } = job.request.queue
     const free = this.#freeCapacity.get(group)
     if (free !== undefined) this.#freeCapacity.set(group, free - cpuOf(job, tasks))
-    this.#pending.set(job, { peer, group, left: tasks.length, waits, at: now, heardAt: now, crowded: false })
+    this.#asked.set(job, { peer, group, left: tasks.length, waits, at: now, heardAt: now, crowded: false })
     this.#dependencies.tell(peer, {
       type: 'ask',
       group,
@@ -354,9 +354,9 @@
 
   /** Withdraws the request for a job that is pending at another entry. */
   #withdraw (job: Job): void {
-    const pending = this.#pending.get(job)
+    const pending = this.#asked.get(job)
     if (pending === undefined) return
-    this.#pending.delete(job)
+    this.#asked.delete(job)
     if (this.#dependencies.linked(pending.peer)) this.#dependencies.tell(pending.peer, { type: 'unask', job: job.request.id })
   }
 }
