--- a/packages/coordination/src/agent.ts
+++ b/packages/coordination/src/agent.ts
@@ -194,9 +194,9 @@
   }
 
   /**
-   * Replies with the ledger records of the epoch that this agent is in. If the agent has a newer view than the asking
-   * entry, the owner computed here differs from the one computed by that entry. A reply marked with the older epoch
-   * would then state that none of these jobs was ever started.
+   * Replies with the ledger records of the epoch that this agent is in. If the agent has a newer view than the
+   * requesting entry, the owner computed here differs from the one computed by that entry. A reply marked with the
+   * older epoch would then state that none of these jobs was ever started.
    */
   #recallLedger (entry: Instance, recall: { epoch: string, view: View }, now: number): void {
     this.#adopt(recall.view, now)
--- a/packages/coordination/src/execution.ts
+++ b/packages/coordination/src/execution.ts
@@ -79,7 +79,7 @@
   awaitedBackup: Instance | undefined
   /** The lost entry that ran it; empty when the job is known only from ledger lines. */
   lostExecutor: Instance = ''
-  /** Whether it may have run before the period that the record of jobs covers. */
+  /** Whether it may have run before the period that the memory of job ids covers. */
   mayPredateHorizon = false
   readonly #tasks: TaskProgress[] = []
   readonly #lines = new Map<number, { line: LedgerLine, agent: Instance }>()
@@ -278,7 +278,7 @@
 }
 
 /**
- * Whether a ledger line proves that the task started. A refusal says nothing about other attempts at other
+ * Whether a ledger line proves that the task started. A refusal is no evidence on other attempts at other
  * agents.
  */
 function provesStart (line: LedgerLine): boolean {
--- a/packages/coordination/src/holders.ts
+++ b/packages/coordination/src/holders.ts
@@ -25,7 +25,7 @@
     return holder === this.#context.instance ? undefined : holder
   }
 
-  /** Informs the asking entry which entry holds the job. */
+  /** Reports to the requesting entry which entry holds the job. */
   redirect (from: Attachment, job: JobKey, holder: Instance): void {
     const value = { job, submission: from.submission, status: SubmitStatus.HeldElsewhere, holder }
     this.#context.sendPeer(from.entry, { case: 'submitted', value })
--- a/packages/coordination/src/jobintake.ts
+++ b/packages/coordination/src/jobintake.ts
@@ -153,7 +153,7 @@
   }
 
   /**
-   * Whether an unknown job may have run before the period that the memory covers. A job with a lodging time is compared
+   * Whether an unknown job may have run before the period that the memory covers. A job with a submission time is compared
    * with the horizon. One without is assumed to predate the horizon for as long as a job from before it would have been
    * retained.
    */
--- a/packages/coordination/src/jobmemory.ts
+++ b/packages/coordination/src/jobmemory.ts
@@ -100,8 +100,8 @@
   /**
    * Marks the memory of a new entry as complete: it is as complete as that of any other member.
    *
-   * If no member has a complete memory, earlier runs are forgotten and the horizon is raised. The agents that ran
-   * them are forgotten too, so a placeholder that can never be reached is added for them. Neither applies while
+   * If no member has a complete memory, the records of earlier runs are lost and the horizon is raised. The agents
+   * that ran them are unknown too, so a placeholder that can never be reached is added for them. Neither applies while
    * entries have only joined so far, perhaps several before the first had read its own join, since nothing can have
    * run then.
    */
--- a/packages/coordination/src/jobqueries.ts
+++ b/packages/coordination/src/jobqueries.ts
@@ -24,7 +24,7 @@
   holders: Holders
   /** Whether this entry is, or was, a member with a complete memory. Until then no query is processed. */
   ready: () => boolean
-  /** Whether a job that no entry knows has provably never run. */
+  /** Whether a job that no entry has a record of has provably never run. */
   unknownNeverRan: (job: JobKey) => boolean
   newSubmission: () => string
   reply: Reply
@@ -110,7 +110,7 @@
     this.lookedUp(from, job, state, held?.answer)
   }
 
-  /** Sends the result of a look-up to the entry that asked. */
+  /** Sends the result of a look-up to the entry that requested it. */
   lookedUp (to: Attachment, job: JobKey, state: JobState, answer: Answer | undefined): void {
     if (to.entry !== this.#context.instance) {
       const value = { job, submission: to.submission, state, ...(answer !== undefined && { answer }) }
--- a/packages/coordination/src/jobs.ts
+++ b/packages/coordination/src/jobs.ts
@@ -67,7 +67,7 @@
   /**
    * Accepts a job of which no record exists, or refuses it.
    *
-   * @param mayPredateHorizon whether the job may have run before the recorded period: the answer then never
+   * @param mayPredateHorizon whether the job may have run before the period that the memory covers: the answer then never
    * states that it did not run
    */
   accept (job: Job, from: Attachment, mayPredateHorizon: boolean, now: number): void {
@@ -151,8 +151,8 @@
   }
 
   /**
-   * Releases the jobs of lost entries that now belong to another entry. That entry asks the agents itself,
-   * so that only one entry decides which tasks of a job run.
+   * Releases the jobs of lost entries that now belong to another entry. That entry recalls the
+   * ledger records of the agents itself, so that only one entry decides which tasks of a job run.
    */
   releaseOrphans (owned: (job: JobKey) => boolean): Receipt[] {
     const released: Receipt[] = []
--- a/packages/coordination/src/ledger.ts
+++ b/packages/coordination/src/ledger.ts
@@ -203,7 +203,7 @@
    * Transfers the records of jobs that `holder` now owns to it, and returns them; their outcomes are sent to it from
    * now on.
    *
-   * Includes records of removed entries, and records handed over earlier that nobody has claimed since: the earlier
+   * Includes records of removed entries, and records handed over earlier that no entry has claimed since: the earlier
    * reply may have been lost, or the job ids may have moved to another entry.
    */
   handOver (holder: Instance, owns: (job: JobKey) => boolean, isRemoved: (holder: Instance) => boolean): LedgerLine[] {
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -325,7 +325,7 @@
    * Extra time that an entry waits when most of the others do not respond, since it is then more likely to be the
    * isolated one. It may also fail to receive while the others still receive from it: the delay is long enough for its
    * unresponsive links to be closed, so that the others lose contact and remove it first. As the only entry in the view
-   * it would serve nobody.
+   * it would serve no caller.
    */
   #minorityDelay (others: readonly Member[], now: number): number {
     const missed = others.filter(member => this.#timeSinceContact(member.instance, now) > this.#timings.suspect * MISSED_CONTACT_FRACTION)
--- a/packages/coordination/src/messages.ts
+++ b/packages/coordination/src/messages.ts
@@ -74,7 +74,7 @@
   UnknownTenant = 10,
   /** The job id was used before with different content. */
   IdReused = 11,
-  /** The job was lodged before the period that the memory of the entries covers. */
+  /** The job was first submitted before the period that the memory of the entries covers. */
   BeforeHorizon = 12,
   /** The entry is stopping, fenced or not ready. */
   NotReady = 13,
@@ -113,7 +113,7 @@
   repeatable: boolean
   /** Time left until the deadline, in milliseconds, when the message was created. */
   remainingMilliseconds: number
-  /** When the caller first lodged the job, in milliseconds since 1970; 0 when not stated. */
+  /** When the caller first submitted the job, in milliseconds since 1970; 0 when not stated. */
   lodgedAt: number
   tasks: TaskRequest[]
 }
@@ -228,7 +228,7 @@
   | { case: 'dispatch', value: Dispatch }
   | { case: 'cancel', value: { tasks: TaskReference[] } }
   | { case: 'acknowledge', value: { tasks: TaskReference[] } }
-  /** Adopt `view`, and send the ledger records of removed entries whose jobs the asking entry now owns. */
+  /** Adopt `view`, and send the ledger records of removed entries whose jobs the requesting entry now owns. */
   | { case: 'recall', value: { epoch: string, view: View } }
   /** Answer to a heartbeat: `sent` as received, and the age of the store's last confirmation of the view. */
   | { case: 'heartbeatReply', value: { sent: number, viewVersion: number, confirmedAgeMilliseconds: number } }
@@ -239,7 +239,7 @@
   | { case: 'announce', value: { instance: Instance, target: TargetDescription, report: TargetReport } }
   | { case: 'report', value: TargetReport }
   | { case: 'result', value: TaskResult }
-  /** Answer to `recall`: the records whose jobs the asking entry owns, with the agent's epoch. */
+  /** Answer to `recall`: the records whose jobs the requesting entry owns, with the agent's epoch. */
   | { case: 'recalled', value: { epoch: string, lines: LedgerLine[] } }
   /** `sent` is a reading of the agent's own clock, returned to it unchanged. */
   | { case: 'heartbeat', value: { sent: number, viewVersion: number, configurationVersion: number } }
@@ -258,7 +258,7 @@
   Unspecified = 0,
   /** The owner holds the job; an `answer` follows. */
   Accepted = 1,
-  /** Another entry holds the job, and is to be asked instead. */
+  /** Another entry holds the job; the request is to be sent there. */
   HeldElsewhere = 2
 }
 
--- a/packages/coordination/src/router.ts
+++ b/packages/coordination/src/router.ts
@@ -22,20 +22,20 @@
 /** Delay before a request without a reachable holder is routed again, in milliseconds. */
 const REROUTE_DELAY_MILLISECONDS = 100
 
-/** The parts of the entry that the router uses, and the state that it reads from the entry. */
+/** The components of the entry that the router uses, and the state that it reads from the entry. */
 export interface RouterDependencies {
   context: EntryContext
   jobs: Jobs
   receipts: Receipts
   takeover: Takeover
   /**
-   * Start of the period for which the record of jobs is complete, in milliseconds since 1970; 0 when it
-   * covers all time.
+   * Start of the period for which the memory of job ids is complete, in milliseconds since 1970; 0 when it
+   * always was.
    */
   horizon: () => number
   /**
-   * Whether this entry is, or was, a member with a complete record of jobs. Requests are held back until
-   * then.
+   * Whether this entry is, or was, a member with a complete memory of its job ids. Requests are held back
+   * until then.
    */
   ready: () => boolean
   /**
--- a/packages/coordination/src/scheduler.ts
+++ b/packages/coordination/src/scheduler.ts
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Records the end of an outstanding task. `Unspecified` means that the entry cancelled it: that says
-   * nothing about the target.
+   * Records the end of an outstanding task. `Unspecified` means that the entry cancelled it, which
+   * is no evidence on the target.
    */
   settled (assignment: PlacedTask, outcome: TaskOutcome, runMilliseconds: number, now: number): void {
     const name = taskName(assignment.job, assignment.index)
--- a/packages/coordination/src/shares.ts
+++ b/packages/coordination/src/shares.ts
@@ -2,7 +2,7 @@
  * Selects the provider of the next task of a service.
  *
  * Each entry follows its own low-discrepancy sequence: every task adds its share to each provider's
- * balance, and the provider with the highest balance gets the task and pays 1. After any number of tasks
+ * balance, and the provider with the highest balance gets the task, which costs it 1. After any number of tasks
  * each provider is within one task of its share, so a window over a few entries is within a few tasks,
  * without messages between them. Entries start at different offsets, so that they do not all select the
  * same provider at the same time.
--- a/packages/coordination/src/taskqueue.ts
+++ b/packages/coordination/src/taskqueue.ts
@@ -134,7 +134,7 @@
   }
 
   /**
-   * Queues a task that was not started again, at its original position. `wait` is the delay in milliseconds
+   * Returns a task that was not started to the queue, at its original position. `wait` is the delay in milliseconds
    * before it may be dispatched.
    */
   requeue (task: SchedulableTask, estimate: number, position: QueuePosition, wait: number, now: number): void {
--- a/packages/dispatch/src/agent.ts
+++ b/packages/dispatch/src/agent.ts
@@ -209,7 +209,7 @@
 
   /**
    * Begins with the target that the previous incarnation of the agent stored. It is used once it answers as the same incarnation.
-   * The next heartbeat may be 1.5 s away: without the stored facts, the targets of a fleet come back one by one over that time
+   * The next heartbeat may be 1.5 s away: without the stored facts, the targets of a fleet return one by one over that time
    * after all processes are killed.
    */
   #targetRemembered (facts: TargetFacts, now: number): void {
--- a/packages/dispatch/src/answeredjobs.ts
+++ b/packages/dispatch/src/answeredjobs.ts
@@ -9,7 +9,7 @@
     return this.#answers.get(id)
   }
 
-  /** Stores an answer; beyond `ANSWERS_REMEMBERED` the oldest is dropped. */
+  /** Stores an answer; beyond `MAX_REMEMBERED_ANSWERS` the oldest is dropped. */
   remember (id: string, answer: Answer): void {
     this.#answers.set(id, answer)
     if (this.#answers.size <= MAX_REMEMBERED_ANSWERS) return
--- a/packages/dispatch/src/crashreports.ts
+++ b/packages/dispatch/src/crashreports.ts
@@ -57,7 +57,7 @@
     this.#logAndSend('target had not crashed', this.#crashes.answered(instance, now))
   }
 
-  /** Handles the begin of an incarnation, which may be the one that was unreachable. */
+  /** Handles the start of an incarnation, which may be the one that was unreachable. */
   begun (instance: string, now: number): void {
     const before = this.#unreachable
     this.#unreachable = undefined
--- a/packages/dispatch/src/defaults.ts
+++ b/packages/dispatch/src/defaults.ts
@@ -25,7 +25,7 @@
 export const IDLE_PING_MILLISECONDS = 450
 
 /**
- * Ping interval, for each connected entry, on a link without tasks whose entry asks another one for capacity, and the maximum
+ * Ping interval, for each connected entry, on a link without tasks whose entry requests capacity from another one, and the maximum
  * interval. An agent sends about 17 such pings a second for any number of entries; with few entries, their view of the load is
  * as recent as that of entries that choose targets themselves. The first start on a quiet link waits for the echo of one ping,
  * one round trip.
@@ -246,17 +246,17 @@
 /** Time for which granted capacity is reserved for a start that does not arrive: the way to the target takes 1 to 50 ms. */
 export const GRANT_TIMEOUT_MILLISECONDS = 500
 
-/** Time without a message from an entry with an open capacity request after which another is asked: it sends a message every 50 ms. */
+/** Time without a message from the allocator at which a capacity request waits, after which the request times out: the allocator sends a keep-alive every 50 ms. */
 export const ALLOCATOR_TIMEOUT_MILLISECONDS = 150
 
-/** Interval at which an entry that allocates capacity announces itself to the others, and time without a message after which it is asked for nothing. */
+/** Interval at which an entry that allocates capacity announces itself to the others, and time without a message after which no requests are sent to it. */
 export const MEMBER_INTERVAL_MILLISECONDS = 1000
 export const PEER_TIMEOUT_MILLISECONDS = 2500
 
 /** Time from its first link to a target until an entry may allocate capacity: by then it has connected to the other targets and received their load. */
 export const SETTLING_MILLISECONDS = 500
 
-/** Minimum free capacity of a remote group, as a multiple of what a job needs, for it to be asked: other entries ask at the same time. */
+/** Minimum free capacity of a remote group, as a multiple of what a job needs, for a request to be sent to it: other entries send requests at the same time. */
 export const REMOTE_CAPACITY_FACTOR = 2
 
 /** Minimum time between two messages on the free capacity of a group, and the change, as a fraction of the value last sent, that causes one. */
@@ -264,9 +264,9 @@
 export const CAPACITY_CHANGE_FRACTION = 0.15
 
 /**
- * Mean time of recent answers to capacity requests above which an entry chooses targets itself, and below which it asks again.
- * A refused start costs about one round trip to an agent. On 0.12 CPU cores, answers took 20 to 60 ms, and asking cost more than
- * a quarter of the starts being refused.
+ * Mean time of recent answers to capacity requests above which an entry chooses targets itself, and below which it sends requests again.
+ * A refused start costs about one round trip to an agent. On 0.12 CPU cores, answers took 20 to 60 ms, and requests cost more than
+ * a refusal of a quarter of the starts.
  */
 export const SLOW_ANSWER_MILLISECONDS = 15
 export const FAST_ANSWER_MILLISECONDS = 8
--- a/packages/dispatch/src/evacuationguard.ts
+++ b/packages/dispatch/src/evacuationguard.ts
@@ -15,7 +15,7 @@
 /**
  * Entries send the evacuations to their agents before the first start on a link and after each change. An entry that cannot read
  * the store may order starts for seconds after an evacuation was requested. By then another entry has sent it to the agent, or
- * the agent, informed that the entry cannot read the store, reads it itself.
+ * the agent has read it itself, since the entry reports that it cannot read the store.
  */
 export class EvacuationGuard {
   readonly #dependencies: EvacuationGuardDependencies
--- a/packages/dispatch/src/farcost.ts
+++ b/packages/dispatch/src/farcost.ts
@@ -17,7 +17,7 @@
 export class RemoteCost {
   readonly #dependencies: RemoteCostDependencies
   readonly #overheads: Overheads = { near: undefined, far: undefined }
-  /** Cache of the fraction of free processors by data centre, cleared before each decision. */
+  /** Fraction of free processors by data centre; cached and cleared before each decision. */
   #freeFractions = new Map<string, number>()
 
   constructor (dependencies: RemoteCostDependencies) {
@@ -36,7 +36,7 @@
     this.#freeFractions.clear()
   }
 
-  /** Extra time of a task at a remote target for the way there and back, in milliseconds; 0 until tasks at local and remote targets have finished. */
+  /** Extra time of a task at a remote target for the round trip, in milliseconds; 0 until tasks at local and remote targets have finished. */
   get remoteDelay (): number {
     const { near, far } = this.#overheads
     return near === undefined || far === undefined ? 0 : Math.max(0, far - near)
--- a/packages/dispatch/src/jobqueue.ts
+++ b/packages/dispatch/src/jobqueue.ts
@@ -8,10 +8,10 @@
 
 /**
  * The job that would be refused first comes first. This keeps long jobs, whose latest start is late, from all being
- * refused under overload: at twice the load the longest kind gets 0.36 of the credit, against 0.32 in the order of the
+ * refused under overload: at twice the load the longest type gets 0.36 of the credit, against 0.32 in the order of the
  * latest start (emulated, four fleets). A started job keeps its place; otherwise a wide job is passed over while its
  * last tasks wait, and all its work is wasted. Jobs that cannot be in time need no rank behind the others, since they
- * are refused while others wait: such ranks changed no figure on six emulated kinds of day.
+ * are refused while others wait: such ranks changed no figure in six types of emulated day.
  */
 export class JobQueue {
   readonly #policy: OrderPolicy
--- a/packages/dispatch/src/leasegrants.ts
+++ b/packages/dispatch/src/leasegrants.ts
@@ -77,7 +77,7 @@
     return this.#maySendDeadline(now) && (this.#mayRenew(now) || this.#dependencies.lease().hasRemaining(MIN_LEASE_MILLISECONDS, now))
   }
 
-  /** Whether a run that several stops did not end has to be ended by the lease, which also ends all other tasks of the target. */
+  /** Whether a run that several stops have not ended has to be ended by the expiry of the lease, which also ends all other tasks of the target. */
   get endsWithLease (): boolean {
     return this.#held.orphanedRunPersists || this.#held.all().some(held => held.stopConfirmedAt === undefined && held.stage === Stage.Stopping && held.stops > STOPS_BEFORE_EXPIRY)
   }
--- a/packages/dispatch/src/peerwatch.ts
+++ b/packages/dispatch/src/peerwatch.ts
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Marks unresponsive allocators as suspected. An entry with waiting requests sends a keep-alive with each tick; an
-   * allocator sends one each second.
+   * Marks unresponsive allocators as suspected. An allocator sends a member message each second, and a keep-alive with each
+   * tick while requests wait there.
    *
    * @returns whether an entry with a pending request is unresponsive
    */
--- a/packages/dispatch/src/policy.ts
+++ b/packages/dispatch/src/policy.ts
@@ -58,7 +58,7 @@
   partitions: boolean
   /** Admits jobs by the demand and capacity of all entries instead of the entry's own queue. @default false */
   fleetAdmission: boolean
-  /** Tells refused callers when their share will have capacity, and serves those that return at that time first. @default false */
+  /** Sends refused callers the time at which their share will have capacity, and serves those that return at that time first. @default false */
   reservesReturns: boolean
   /** Places tasks that are in time on a slow target there, and leaves fast targets to other tasks. @default false */
   placesBySlack: boolean
--- a/packages/dispatch/src/shareplan.ts
+++ b/packages/dispatch/src/shareplan.ts
@@ -36,8 +36,9 @@
 
 /**
  * Computes the share of each queue. A queue with a demand up to its fair share is admitted whole, also slightly above
- * it while another queue is far above its own. What waits beyond the aim, or is missing to it, is charged to the queues
- * above their share, which have caused it. A short swing of the demand above the capacity causes no refusals.
+ * it while another queue is far above its own. The difference between the cores wanted at one time and the aim is
+ * charged to the queues above their share, which have caused it. A short swing of the demand above the capacity causes
+ * no refusals.
  *
  * @param weightOf weight of the queues of a priority
  */
--- a/packages/dispatch/src/targetlease.ts
+++ b/packages/dispatch/src/targetlease.ts
@@ -5,7 +5,7 @@
  * Computes deadlines on the target's clock, and the time until which its tasks may be running.
  *
  * A target that receives renewals whose answers are lost would keep running tasks whose ends reach
- * no one. So after one lost answer no renewal is sent until the target has answered again.
+ * no agent. So after one lost answer no renewal is sent until the target has answered again.
  */
 export class TargetLease {
   readonly #timings: Timings
--- a/packages/dispatch/src/taskruns.ts
+++ b/packages/dispatch/src/taskruns.ts
@@ -29,7 +29,7 @@
 
 /** How an incarnation of the target that no longer answers has ended. */
 export enum IncarnationEnd {
-  /** Nothing listens at its address. It may come back. */
+  /** Nothing listens at its address. It may return. */
   Unknown = 'unknown',
   /** It has deregistered and is gone with all its tasks. */
   Left = 'left',
