--- a/packages/daemon/test/lineclass.test.ts
+++ b/packages/daemon/test/lineclass.test.ts
@@ -22,8 +22,8 @@
 })
 
 const CHANGES = [
-  'target lost', 'target unresponsive', 'target found', 'target clear', 'task ended', 'orphaned run stopped', 'tasks of an entry stopped', 'start refused', 'start out of contact',
-  'task to be placed again', 'task moved', 'tasks of an unresponsive agent ended', 'further submission cancelled', 'agent unresponsive', 'entry linked', 'entry unlinked',
+  'target lost', 'target silent', 'target found', 'target clear', 'task ended', 'orphaned run stopped', 'tasks of an entry stopped', 'start refused', 'start out of contact',
+  'task to be placed again', 'task moved', 'tasks of a silent agent ended', 'further submission cancelled', 'agent silent', 'entry linked', 'entry unlinked',
   'woke from a suspension', 'fenced, token raised', 'a new incarnation of the target announced itself', 'evacuations in force'
 ]
 
--- a/packages/dispatch/src/fleet.ts
+++ b/packages/dispatch/src/fleet.ts
@@ -282,7 +282,7 @@
       agent.expireGrants(now)
       if (agent.linked && now - agent.echoedAt >= ping) this.#echo(agent, now)
       if (agent.linked && agent.timeWithoutContact(now) >= agent.contactTimeout(contact)) {
-        this.#note('agent unresponsive', { agent: agent.name, placed: agent.placements.size })
+        this.#note('agent silent', { agent: agent.name, placed: agent.placements.size })
         agent.linked = false
         this.#forecast.note(agent, now)
         this.#options.emit({ type: 'unlink', agent: agent.name })
@@ -307,7 +307,7 @@
 
   #endUnresponsive (agent: AgentView, placements: readonly Placement[], echoedAt: number, now: number): void {
     if (placements.length === 0) return
-    this.#note('tasks of an unresponsive agent ended', { agent: agent.name, tasks: placements.length, echoedAgo: Math.round(now - echoedAt) })
+    this.#note('tasks of a silent agent ended', { agent: agent.name, tasks: placements.length, echoedAgo: Math.round(now - echoedAt) })
     for (const placement of placements) this.#endAsGone(agent, placement, Cause.Expired, now)
   }
 
--- a/packages/dispatch/src/targetwatch.ts
+++ b/packages/dispatch/src/targetwatch.ts
@@ -368,7 +368,7 @@
   noteUnanswered (sent: number, now: number): void {
     this.noteLoss(now)
     if (sent < this.#lastAnsweredPollAt) return
-    if (!this.#lease.silent) this.#context.note('target unresponsive', { instance: this.#facts?.instance, tasks: this.#held.size })
+    if (!this.#lease.silent) this.#context.note('target silent', { instance: this.#facts?.instance, tasks: this.#held.size })
     this.#lease.noteUnanswered(now)
   }
 }
