--- a/packages/coordination/src/jobqueries.ts
+++ b/packages/coordination/src/jobqueries.ts
@@ -24,7 +24,7 @@
   holders: Holders
   /** Whether this entry is, or was, a member with a complete memory. Until then no query is processed. */
   ready: () => boolean
-  /** Whether a job that no entry knows has provably never run. */
+  /** Whether a job that no entry has a record of has provably never run. */
   unknownNeverRan: (job: JobKey) => boolean
   newSubmission: () => string
   reply: Reply
@@ -75,7 +75,7 @@
   redirected (submission: string, holder: Instance): boolean {
     const query = this.#queries.get(submission)
     if (query === undefined) return false
-    if (holder !== this.#context.instance) this.#ask(query, submission, holder)
+    if (holder !== this.#context.instance) this.#forwardQuery(query, submission, holder)
     return true
   }
 
@@ -110,7 +110,7 @@
     this.lookedUp(from, job, state, held?.answer)
   }
 
-  /** Sends the result of a look-up to the entry that asked. */
+  /** Sends the result of a look-up to the entry that requested it. */
   lookedUp (to: Attachment, job: JobKey, state: JobState, answer: Answer | undefined): void {
     if (to.entry !== this.#context.instance) {
       const value = { job, submission: to.submission, state, ...(answer !== undefined && { answer }) }
@@ -142,7 +142,7 @@
     if (!this.#ready()) return
     const holder = this.#holders.otherHolder(job)
     if (holder !== undefined) {
-      this.#ask(query, submission, holder)
+      this.#forwardQuery(query, submission, holder)
       return
     }
     const from = { entry: this.#context.instance, submission }
@@ -150,7 +150,7 @@
     else this.lookUpFor(from, job)
   }
 
-  #ask (query: Query, submission: string, holder: Instance): void {
+  #forwardQuery (query: Query, submission: string, holder: Instance): void {
     this.#context.sendPeer(holder, { case: query.kind, value: { job: query.job, submission } })
   }
 
--- a/packages/dispatch/src/allocationclient.ts
+++ b/packages/dispatch/src/allocationclient.ts
@@ -111,7 +111,7 @@
 
   /** Sends a request for each job that needs one. */
   requestAll (now: number): void {
-    for (const job of this.#toRequest) this.#ask(job, now)
+    for (const job of this.#toRequest) this.#sendRequest(job, now)
     this.#toRequest.clear()
   }
 
@@ -308,7 +308,7 @@
     this.#toRequest.add(job)
   }
 
-  #ask (job: Job, now: number): void {
+  #sendRequest (job: Job, now: number): void {
     const tasks = job.queued()
     if (job.state !== JobState.Open || tasks.length === 0) return this.#withdraw(job)
     const home = this.#dependencies.home()
--- a/packages/emulator/src/emulatedtarget.ts
+++ b/packages/emulator/src/emulatedtarget.ts
@@ -239,7 +239,7 @@
     const { instance, task, run, token, deadline, timeout } = order
     const reply = (answer: StartAnswer): void => this.#post({ type: 'startAnswered', instance, task, run, answer })
     this.#call(order, timeout, reply, {
-      silent: StartAnswer.Silent,
+      silent: StartAnswer.NoResponse,
       refused: StartAnswer.NoListener,
       otherInstance: StartAnswer.OtherInstance,
       execute: () => this.#start({ task, run, token, deadline })
@@ -264,7 +264,7 @@
     // A poll grants its lease only once, on arrival, even if its answer waits.
     let grantedDeadline = deadline
     const answers: CallAnswers<AgentEvent> = {
-      silent: failed(PollFailure.Silent),
+      silent: failed(PollFailure.NoResponse),
       refused: failed(PollFailure.NoListener),
       otherInstance: failed(PollFailure.OtherInstance),
       execute: () => {
